--- a/entry/executor/arrivals.go
+++ b/entry/executor/arrivals.go
@@ -82,7 +82,7 @@
 	return w
 }
 
-// TakeRepeat implements query.Arrivals by the indexes of the query's newest view.
+// TakeRepeat implements query.ShardBudget by the indexes of the query's newest view.
 // It is called with the run's lock held.
 func (r *run) TakeRepeat(upstream, shard int, now time.Time) bool {
 	if upstream < 0 || upstream >= len(r.view.Upstreams) {
--- a/entry/executor/exchange.go
+++ b/entry/executor/exchange.go
@@ -49,7 +49,7 @@
 	e.Learn(s.leaf.ID, reply.Said)
 	a.run.service.metrics.Attempt(telemetry.AttemptReply, s.action.Queued)
 	p.finish(a, dispatch.OutcomeReply, reply.Service)
-	a.run.mail.put(query.Reply{Attempt: a.offer.Attempt, Leaf: leaf, Version: reply.Version, Ranges: reply.Ranges, Body: reply.Body, Versions: reply.Versions, Carried: reply.Carried})
+	a.run.mail.put(query.Reply{Attempt: a.offer.Attempt, Leaf: leaf, Version: reply.Version, Ranges: reply.Ranges, Body: reply.Body, Versions: reply.Versions, Attachment: reply.Carried})
 }
 
 // attemptOutcome is the metrics' label of a failed exchange.
@@ -117,7 +117,7 @@
 		}
 		p.finish(a, brokenOutcome(broken.Cause), 0)
 		crash := closed && x.up || lost && e.lost(a)
-		a.run.mail.put(query.Broken{Attempt: id, Leaf: leaf, Cause: string(broken.Cause), Crash: crash, Carried: broken.Carried})
+		a.run.mail.put(query.Broken{Attempt: id, Leaf: leaf, Cause: string(broken.Cause), Crash: crash, Failure: broken.Carried})
 	default:
 		p.finish(a, dispatch.OutcomeBroken, 0)
 		a.run.mail.put(query.Broken{Attempt: id, Leaf: leaf, Cause: "internal"})
--- a/entry/executor/execute.go
+++ b/entry/executor/execute.go
@@ -136,12 +136,12 @@
 	r.repetition = r.service.repetition.Load()
 	r.groups = e.plan(req, mode)
 	r.machine = query.New(query.Config{
-		Groups: parts(r.groups), Only: req.Only,
+		Groups: parts(r.groups), OnlyShards: req.Only,
 		View: req.View, Service: req.Service, Start: req.Start, Deadline: req.Deadline,
 		Versions:     r.versions,
 		Budget:       r.repetition,
-		Arrivals:     r,
-		SettleBefore: before,
+		ShardBudget:  r,
+		SettleMargin: before,
 		HedgeAfter:   r.repetition.hedgeAfter(r),
 		Canary:       mode == quarantine.ModeCanary,
 		Suspect:      mode == quarantine.ModeSuspect,
@@ -187,7 +187,7 @@
 	m.Hedges.Inc(int64(a.Hedges))
 	m.Retries.Inc(int64(a.Retries))
 	m.Ignored.Inc(int64(a.Ignored))
-	m.Moves.Inc(int64(a.Moves))
+	m.Moves.Inc(int64(a.VersionMoves))
 	r.logAnswer(a)
 }
 
@@ -207,7 +207,7 @@
 		out.Missing = append(out.Missing, callerapi.Missing{Part: r.part(m.Part), Reason: missing(m)})
 	}
 	for _, res := range a.Results {
-		out.Results = append(out.Results, callerapi.Result{Part: r.part(res.Part), More: res.More, Body: res.Body})
+		out.Results = append(out.Results, callerapi.Result{Part: r.part(res.Part), More: res.MoreRanges, Body: res.Body})
 	}
 	return out
 }
--- a/entry/executor/gather.go
+++ b/entry/executor/gather.go
@@ -147,8 +147,8 @@
 		r.sawRun()
 	}
 	r.mail.put(query.Gathered{
-		Attempt: id, Version: reply.Version, Ranges: reply.Ranges, Going: reply.Going,
-		Sent: reply.Sent, Hedges: reply.Hedges, Retries: reply.Retries, Carried: reply.Carried,
+		Attempt: id, Version: reply.Version, Ranges: reply.Ranges, HasMore: reply.Going,
+		Sent: reply.Sent, Hedges: reply.Hedges, Retries: reply.Retries, Attachment: reply.Carried,
 	})
 }
 
--- a/entry/executor/quarantine.go
+++ b/entry/executor/quarantine.go
@@ -164,7 +164,7 @@
 	case quarantine.PhaseClear:
 		ev = query.Cleared{}
 	case quarantine.PhaseQuarantined:
-		ev = query.Condemned{RetryAfter: c.Left}
+		ev = query.Quarantined{RetryAfter: c.Left}
 	default:
 		return
 	}
--- a/entry/gateway/answer.go
+++ b/entry/gateway/answer.go
@@ -121,7 +121,7 @@
 func (g *Gateway) whole(answer *query.Answer) *Reply {
 	var handed *leafclient.Handed
 	if len(answer.Results) == 1 {
-		handed, _ = answer.Results[0].Carried.(*leafclient.Handed)
+		handed, _ = answer.Results[0].Attachment.(*leafclient.Handed)
 	} else {
 		handed, _ = answer.Failure.(*leafclient.Handed)
 	}
--- a/entry/gateway/gather.go
+++ b/entry/gateway/gather.go
@@ -105,7 +105,7 @@
 			continue
 		}
 		x.sentOn[r.Part.Range] = true
-		out.Ranges = append(append(out.Ranges, r.Part.Range), r.More...)
+		out.Ranges = append(append(out.Ranges, r.Part.Range), r.MoreRanges...)
 	}
 	if len(out.Ranges) == 0 && !first && !x.done {
 		return nil, nil
@@ -127,7 +127,7 @@
 
 // add takes a result in and reports whether it is a part.
 func (m *merging) add(r query.Result) bool {
-	switch c := r.Carried.(type) {
+	switch c := r.Attachment.(type) {
 	case *leafclient.Handed:
 		m.bodies = append(m.bodies, c.Body)
 		m.signatures = append(m.signatures, c.Signature)
--- a/kernel/quarantine/fleet_test.go
+++ b/kernel/quarantine/fleet_test.go
@@ -180,7 +180,7 @@
 		case quarantine.PhaseClear:
 			f.handle(q, query.Cleared{})
 		case quarantine.PhaseQuarantined:
-			f.handle(q, query.Condemned{RetryAfter: c.Left})
+			f.handle(q, query.Quarantined{RetryAfter: c.Left})
 		}
 	}
 }
--- a/kernel/quarantine/quarantine.go
+++ b/kernel/quarantine/quarantine.go
@@ -81,7 +81,7 @@
 type Announce struct{ Record Record }
 
 // Changed tells the running queries of a fingerprint of its new phase: Cleared
-// and Condemned of the query package, the latter with Left as its RetryAfter.
+// and Quarantined of the query package, the latter with Left as its RetryAfter.
 type Changed struct {
 	Fingerprint string
 	Phase       Phase
--- a/kernel/query/cases_test.go
+++ b/kernel/query/cases_test.go
@@ -82,12 +82,12 @@
 		}
 		w.begin(w.config(&tokens{retries: plenty}))
 		w.runHonestly()
-		if seen == "all" && w.answer.Moves > 0 {
-			t.Fatalf("%d moves, and all was known", w.answer.Moves)
+		if seen == "all" && w.answer.VersionMoves > 0 {
+			t.Fatalf("%d moves, and all was known", w.answer.VersionMoves)
 		}
-		for v := uint64(1); v <= 4 && w.answer.Moves < mostMoves; v++ {
+		for v := uint64(1); v <= 4 && w.answer.VersionMoves < mostMoves; v++ {
 			if share := w.tracker.Share(serviceName, v); w.answer.Share < share-1e-9 {
-				t.Fatalf("share %v at version %d after %d moves; version %d could give %v", w.answer.Share, w.answer.Version, w.answer.Moves, v, share)
+				t.Fatalf("share %v at version %d after %d moves; version %d could give %v", w.answer.Share, w.answer.Version, w.answer.VersionMoves, v, share)
 			}
 		}
 	})
@@ -157,8 +157,8 @@
 	}
 	w.runHonestly()
 	w.want(query.Complete, "")
-	if w.answer.Version != 2 || w.answer.Moves != 1 || w.answer.Sent != 8 {
-		t.Fatalf("version %d, %d moves, %d sent", w.answer.Version, w.answer.Moves, w.answer.Sent)
+	if w.answer.Version != 2 || w.answer.VersionMoves != 1 || w.answer.Sent != 8 {
+		t.Fatalf("version %d, %d moves, %d sent", w.answer.Version, w.answer.VersionMoves, w.answer.Sent)
 	}
 }
 
@@ -181,7 +181,7 @@
 	w.now = w.due()
 	w.handle(query.Tick{})
 	w.want(query.Partial, query.MissingDeadline)
-	if w.answer.Version != 1 || w.answer.Share != 0.5 || w.answer.Missing[0].Reason != query.MissingMoved {
+	if w.answer.Version != 1 || w.answer.Share != 0.5 || w.answer.Missing[0].Reason != query.MissingVersionMoved {
 		t.Fatalf("version %d with share %v, missing %v", w.answer.Version, w.answer.Share, w.answer.Missing)
 	}
 }
--- a/kernel/query/check_test.go
+++ b/kernel/query/check_test.go
@@ -61,7 +61,7 @@
 			continue
 		}
 		w.checkResult(r)
-		for _, x := range append([]keyrange.Range{r.Part.Range}, r.More...) {
+		for _, x := range append([]keyrange.Range{r.Part.Range}, r.MoreRanges...) {
 			mark(w.t, &got, x, "results")
 		}
 	}
@@ -107,18 +107,18 @@
 func (w *world) checkResult(r query.Result) {
 	w.t.Helper()
 	reply, ok := w.honest[string(r.Body)]
-	if key, group := r.Carried.(string); group {
+	if key, group := r.Attachment.(string); group {
 		reply, ok = w.honest[key]
 	}
 	if !ok {
-		w.t.Fatalf("result %s %v was late, repeated or crossed", r.Body, r.Carried)
+		w.t.Fatalf("result %s %v was late, repeated or crossed", r.Body, r.Attachment)
 	}
 	if reply.Version != w.answer.Version {
 		w.t.Fatalf("a result of version %d in an answer of version %d", reply.Version, w.answer.Version)
 	}
 	want := keyrange.NewSet(reply.Ranges...)
-	if !slices.Equal(want.Ranges(), append([]keyrange.Range{r.Part.Range}, r.More...)) {
-		w.t.Fatalf("result of %v %v, the reply had %v", r.Part.Range, r.More, reply.Ranges)
+	if !slices.Equal(want.Ranges(), append([]keyrange.Range{r.Part.Range}, r.MoreRanges...)) {
+		w.t.Fatalf("result of %v %v, the reply had %v", r.Part.Range, r.MoreRanges, reply.Ranges)
 	}
 }
 
--- a/kernel/query/config.go
+++ b/kernel/query/config.go
@@ -32,10 +32,10 @@
 	TakeRetry(now time.Time) bool
 }
 
-// Arrivals limits the arrivals at a shard beyond the first of a request,
+// ShardBudget limits the arrivals at a shard beyond the first of a request,
 // whatever their cause. Each call that returns true spends one. The indexes are
 // those of the query's current view.
-type Arrivals interface {
+type ShardBudget interface {
 	TakeRepeat(upstream, shard int, now time.Time) bool
 }
 
@@ -47,19 +47,19 @@
 	Deadline time.Time
 	Versions VersionSource
 	Budget   Budget
-	// Arrivals bounds repetition by shard; nil sets no bound.
-	Arrivals Arrivals
+	// ShardBudget bounds repetition by shard; nil sets no bound.
+	ShardBudget ShardBudget
 	// HedgeAfter is how long a sent attempt of the upstream may take before it
 	// is hedged; 0, or a nil function, means no hedge.
 	HedgeAfter func(upstream int) time.Duration
-	// SettleBefore is how long before its objective an answer is due, so that it
+	// SettleMargin is how long before its objective an answer is due, so that it
 	// reaches the caller in time; 0 means a fifth of the objective.
-	SettleBefore time.Duration
+	SettleMargin time.Duration
 	// Groups are parts that other instances are to gather; see Group.
 	Groups []Group
-	// Only limits the query to whole shards, for an instance that gathers them for
+	// OnlyShards limits the query to whole shards, for an instance that gathers them for
 	// another; nil: all shards. Such a query gives interim answers and is not settled.
-	Only []Group
+	OnlyShards []Group
 	// Canary runs one part alone before the rest.
 	Canary bool
 	// Suspect marks a fingerprint that was on a leaf that broke: one part
--- a/kernel/query/gate_test.go
+++ b/kernel/query/gate_test.go
@@ -103,7 +103,7 @@
 	cfg := w.config(&tokens{})
 	cfg.Suspect = true
 	w.begin(cfg)
-	w.handle(query.Condemned{RetryAfter: time.Minute})
+	w.handle(query.Quarantined{RetryAfter: time.Minute})
 	w.want(query.NotRun, string(query.ReasonQuarantined))
 	if w.answer.RetryAfter != time.Minute {
 		t.Fatalf("retry after %v", w.answer.RetryAfter)
--- a/kernel/query/group.go
+++ b/kernel/query/group.go
@@ -30,12 +30,12 @@
 	Version uint64
 	// Ranges are covered by this reply; none is a reply too.
 	Ranges []keyrange.Range
-	// Going says that more replies may come.
-	Going bool
+	// HasMore says that more replies may come.
+	HasMore bool
 	// Sent, Hedges and Retries count that instance's attempts since its last reply.
 	Sent, Hedges, Retries int
-	// Carried is the runtime's own, handed on with the answer unread.
-	Carried any
+	// Attachment is the runtime's own, handed on with the answer unread.
+	Attachment any
 }
 
 // Interim is what a query of some shards only has when an answer is due, and again
@@ -111,7 +111,7 @@
 	if m.takeGroup(*p, ev) {
 		m.checkSettle(now)
 	}
-	if ev.Going {
+	if ev.HasMore {
 		m.shrink(ev.Attempt, p)
 		return
 	}
@@ -151,7 +151,7 @@
 	space := m.parts[a.part].space
 	set := keyrange.NewSet(ev.Ranges...)
 	if ev.Version != m.version || !m.within(a.group, ev.Ranges, set.Size()) ||
-		!m.current().add(stored{space: space, ranges: set.Ranges(), leaf: noLeaf, carried: ev.Carried}) {
+		!m.current().add(stored{space: space, ranges: set.Ranges(), leaf: noLeaf, carried: ev.Attachment}) {
 		m.count.ignored++
 		return false
 	}
@@ -227,7 +227,7 @@
 
 // tellInterim gives what a query of some shards only has so far, once it is due.
 func (m *Machine) tellInterim(now time.Time) {
-	if m.cfg.Only == nil || m.finished || m.settle.IsZero() || now.Before(m.settle) {
+	if m.cfg.OnlyShards == nil || m.finished || m.settle.IsZero() || now.Before(m.settle) {
 		return
 	}
 	share := m.share(m.version)
--- a/kernel/query/group_test.go
+++ b/kernel/query/group_test.go
@@ -77,7 +77,7 @@
 		}
 		version := rapid.SampledFrom([]uint64{max(a.offer.Version, 1), 9}).Draw(t, "version")
 		going := rapid.IntRange(0, 3).Draw(t, "going") == 0
-		w.gather(id, query.Gathered{Version: version, Ranges: covered, Sent: 3, Hedges: 1, Going: going}, version != 9 || a.offer.Version == 0)
+		w.gather(id, query.Gathered{Version: version, Ranges: covered, Sent: 3, Hedges: 1, HasMore: going}, version != 9 || a.offer.Version == 0)
 	}
 }
 
@@ -87,7 +87,7 @@
 	a := w.attempts[id-1]
 	w.serial++
 	key := fmt.Sprintf("group %d", w.serial)
-	g.Attempt, g.Carried = id, key
+	g.Attempt, g.Attachment = id, key
 	if a.live() {
 		a.told.Sent += g.Sent
 		a.told.Hedges += g.Hedges
@@ -97,8 +97,8 @@
 			w.replied = true
 		}
 	}
-	a.ended = !g.Going
-	if g.Going && due && len(g.Ranges) == len(a.group.Ranges) {
+	a.ended = !g.HasMore
+	if g.HasMore && due && len(g.Ranges) == len(a.group.Ranges) {
 		a.ended = true // all is there
 	}
 	w.handle(g)
@@ -140,7 +140,7 @@
 		w.handle(query.Sent{Attempt: 1, Leaf: view.NoLeaf})
 		w.attempts[0].sent, w.attempts[0].clean = true, false
 		w.gather(1, query.Gathered{Version: 1, Ranges: w.groups[0].Ranges[:tc.covered], Sent: 4}, true)
-		w.handle(query.Gathered{Attempt: 1, Version: 1, Ranges: w.groups[0].Ranges, Sent: 4, Carried: "again"})
+		w.handle(query.Gathered{Attempt: 1, Version: 1, Ranges: w.groups[0].Ranges, Sent: 4, Attachment: "again"})
 		w.answerRest()
 		if w.answer == nil || w.answer.Share != tc.share || w.answer.Outcome != tc.outcome {
 			t.Fatalf("%s: answer %+v, want share %v", tc.name, w.answer, tc.share)
@@ -195,7 +195,7 @@
 	w := newWorld(t, service, grid("a", 8, 2))
 	cfg := w.config(&tokens{})
 	shards := w.view.Upstreams[0].Shards
-	cfg.Only = []query.Group{{Ranges: []keyrange.Range{shards[1].Range, shards[2].Range, shards[6].Range}}}
+	cfg.OnlyShards = []query.Group{{Ranges: []keyrange.Range{shards[1].Range, shards[2].Range, shards[6].Range}}}
 	w.begin(cfg)
 	if n := len(w.attempts); n != 3 {
 		t.Fatalf("%d attempts, want 3", n)
@@ -222,12 +222,12 @@
 	w := groupWorld(t, 2)
 	w.handle(query.Sent{Attempt: 1, Leaf: view.NoLeaf})
 	w.attempts[0].sent, w.attempts[0].clean = true, false
-	w.gather(1, query.Gathered{Version: 1, Ranges: w.groups[0].Ranges[:1], Going: true, Sent: 3}, true)
+	w.gather(1, query.Gathered{Version: 1, Ranges: w.groups[0].Ranges[:1], HasMore: true, Sent: 3}, true)
 	w.answerRest()
 	if w.answer != nil {
 		t.Fatalf("answer %+v before the group's rest", w.answer)
 	}
-	w.gather(1, query.Gathered{Version: 1, Ranges: w.groups[0].Ranges[1:2], Going: true, Sent: 1}, true)
+	w.gather(1, query.Gathered{Version: 1, Ranges: w.groups[0].Ranges[1:2], HasMore: true, Sent: 1}, true)
 	w.now = w.now.Add(85 * time.Millisecond)
 	w.handle(query.Tick{})
 	if w.answer == nil || w.answer.Share != 7.0/8 || w.answer.Reason != query.MissingSettled || w.answer.Sent != 9 {
--- a/kernel/query/machine.go
+++ b/kernel/query/machine.go
@@ -111,7 +111,7 @@
 		m.viewChanged(ev.View, now)
 	case Cleared:
 		m.cleared()
-	case Condemned:
+	case Quarantined:
 		m.retryAfter = max(m.retryAfter, ev.RetryAfter)
 		m.finish(string(ReasonQuarantined))
 	case Cancel:
@@ -145,7 +145,7 @@
 			m.spaces[i].hedgeAfter = m.cfg.HedgeAfter(u)
 		}
 	}
-	if m.cfg.Only != nil && m.cfg.Service.Config.Objective > 0 {
+	if m.cfg.OnlyShards != nil && m.cfg.Service.Config.Objective > 0 {
 		m.settle = m.settleTime(m.cfg.Start)
 	}
 	m.plan()
@@ -153,11 +153,11 @@
 
 // only is the keys of an upstream that the query is limited to; nil: it is not.
 func (m *Machine) only(upstream int) *keyrange.Set {
-	if m.cfg.Only == nil {
+	if m.cfg.OnlyShards == nil {
 		return nil
 	}
 	var set keyrange.Set
-	for _, g := range m.cfg.Only {
+	for _, g := range m.cfg.OnlyShards {
 		if g.Upstream != upstream {
 			continue
 		}
@@ -200,7 +200,7 @@
 		m.finish("")
 	case !now.Before(m.cfg.Deadline):
 		m.finish(MissingDeadline)
-	case m.cfg.Only == nil && !m.settle.IsZero() && !now.Before(m.settle):
+	case m.cfg.OnlyShards == nil && !m.settle.IsZero() && !now.Before(m.settle):
 		m.finish(MissingSettled)
 	case m.tryMove(now):
 		m.conclude(now)
@@ -212,7 +212,7 @@
 // hopeless reports whether the least coverage is out of reach and nothing has
 // run yet: then a refusal now is worth more than a useless answer later.
 func (m *Machine) hopeless() bool {
-	if m.cfg.Only != nil {
+	if m.cfg.OnlyShards != nil {
 		return false // whoever asked for these shards knows what is enough
 	}
 	least := m.cfg.Service.Config.LeastCoverage
--- a/kernel/query/messages.go
+++ b/kernel/query/messages.go
@@ -43,8 +43,8 @@
 	Ranges   []keyrange.Range
 	Body     []byte
 	Versions []uint64 // what the leaf serves now
-	// Carried is the runtime's own, handed on with the answer unread.
-	Carried any
+	// Attachment is the runtime's own, handed on with the answer unread.
+	Attachment any
 }
 
 // Declined is a leaf's word that it did not run the attempt.
@@ -75,9 +75,9 @@
 	Cause   string
 	// Crash marks a connection that the leaf closed with the request in a slot.
 	Crash bool
-	// Carried is a failure that the leaf stated, which a caller may be given
+	// Failure is a failure that the leaf stated, which a caller may be given
 	// when nothing better comes; nil when it stated none.
-	Carried any
+	Failure any
 }
 
 // Tick says that a wake-up time asked for by WakeAt has passed.
@@ -95,8 +95,8 @@
 // Cleared says that another query has shown the request to be safe.
 type Cleared struct{}
 
-// Condemned says that the request has been put in quarantine.
-type Condemned struct{ RetryAfter time.Duration }
+// Quarantined says that the request has been put in quarantine.
+type Quarantined struct{ RetryAfter time.Duration }
 
 func (Begin) isEvent()       {}
 func (Sent) isEvent()        {}
@@ -108,7 +108,7 @@
 func (Cancel) isEvent()      {}
 func (ViewChanged) isEvent() {}
 func (Cleared) isEvent()     {}
-func (Condemned) isEvent()   {}
+func (Quarantined) isEvent() {}
 
 // DeclineReason says why an attempt did not run.
 type DeclineReason string
@@ -181,14 +181,14 @@
 
 // Reasons of a missing part, besides those of DeclineReason.
 const (
-	MissingBroken    = "broken"        // the exchange broke after it was sent
-	MissingCrashed   = "crashed"       // the leaf broke with the request in a slot
-	MissingBadReply  = "bad_reply"     // the reply stated a wrong version or wrong ranges
-	MissingDeadline  = "deadline"      // no reply by the deadline
-	MissingSettled   = "settled"       // enough was covered, and the rest was not waited for
-	MissingCancelled = "cancelled"     // the caller went away
-	MissingMoved     = "version_moved" // the query went on to another version
-	MissingNoShard   = "no_shard"      // the configuration has no shard for it
+	MissingBroken       = "broken"        // the exchange broke after it was sent
+	MissingCrashed      = "crashed"       // the leaf broke with the request in a slot
+	MissingBadReply     = "bad_reply"     // the reply stated a wrong version or wrong ranges
+	MissingDeadline     = "deadline"      // no reply by the deadline
+	MissingSettled      = "settled"       // enough was covered, and the rest was not waited for
+	MissingCancelled    = "cancelled"     // the caller went away
+	MissingVersionMoved = "version_moved" // the query went on to another version
+	MissingNoShard      = "no_shard"      // the configuration has no shard for it
 	// MissingNotGathered: another instance was asked for it and did not get it.
 	MissingNotGathered = "not_gathered"
 )
@@ -203,12 +203,12 @@
 type Result struct {
 	// Part is the first range that the reply covers.
 	Part Part
-	// More lists further ranges of the same reply; nearly always empty.
-	More []keyrange.Range
-	Leaf int
-	Body []byte
-	// Carried is that of the Reply.
-	Carried any
+	// MoreRanges lists further ranges of the same reply; nearly always empty.
+	MoreRanges []keyrange.Range
+	Leaf       int
+	Body       []byte
+	// Attachment is that of the Reply.
+	Attachment any
 }
 
 // Answer is what the caller gets.
@@ -228,8 +228,8 @@
 	// Groups counts those that other instances were to gather; what these sent is
 	// counted as sent where they reported them.
 	Groups int
-	// Moves counts changes of the pinned version.
-	Moves int
+	// VersionMoves counts changes of the pinned version.
+	VersionMoves int
 	// SettledAt is when the answer was due without its missing parts; zero when it
 	// was not settled.
 	SettledAt time.Time
--- a/kernel/query/outcome.go
+++ b/kernel/query/outcome.go
@@ -36,8 +36,8 @@
 	return NotRun
 }
 
-// Refused is the answer to a request for which no machine was ever started.
-func Refused(reason DeclineReason, retryAfter time.Duration) Answer {
+// NewRefusedAnswer is the answer to a request for which no machine was ever started.
+func NewRefusedAnswer(reason DeclineReason, retryAfter time.Duration) Answer {
 	return Answer{
 		Outcome:    derive(nil, 0, false),
 		Reason:     string(reason),
@@ -60,15 +60,15 @@
 		version = m.best
 	}
 	a := Answer{
-		Version: version,
-		Reason:  cause,
-		Sent:    m.count.sent,
-		Hedges:  m.count.hedges,
-		Retries: m.count.retries,
-		Ignored: m.count.ignored,
-		Groups:  m.count.groups,
-		Moves:   m.moves,
-		Failure: m.failure,
+		Version:      version,
+		Reason:       cause,
+		Sent:         m.count.sent,
+		Hedges:       m.count.hedges,
+		Retries:      m.count.retries,
+		Ignored:      m.count.ignored,
+		Groups:       m.count.groups,
+		VersionMoves: m.moves,
+		Failure:      m.failure,
 	}
 	if cause == MissingSettled {
 		a.SettledAt = m.settle
@@ -95,11 +95,11 @@
 	}
 	for _, r := range t.results {
 		a.Results = append(a.Results, Result{
-			Part:    Part{Upstream: m.spaces[r.space].first, Range: r.ranges[0]},
-			More:    r.ranges[1:],
-			Leaf:    r.leaf,
-			Body:    r.body,
-			Carried: r.carried,
+			Part:       Part{Upstream: m.spaces[r.space].first, Range: r.ranges[0]},
+			MoreRanges: r.ranges[1:],
+			Leaf:       r.leaf,
+			Body:       r.body,
+			Attachment: r.carried,
 		})
 	}
 }
@@ -113,7 +113,7 @@
 	l := missingList{upstream: m.spaces[space].first}
 	if t != m.current() {
 		for _, g := range gaps {
-			l.add(g, MissingMoved)
+			l.add(g, MissingVersionMoved)
 		}
 		return l.out
 	}
--- a/kernel/query/reply.go
+++ b/kernel/query/reply.go
@@ -60,7 +60,7 @@
 		set := keyrange.NewSet(ranges...)
 		ranges = set.Ranges()
 	}
-	r := stored{space: space, ranges: ranges, leaf: ev.Leaf, body: ev.Body, carried: ev.Carried}
+	r := stored{space: space, ranges: ranges, leaf: ev.Leaf, body: ev.Body, carried: ev.Attachment}
 	if !m.tally(ev.Version).add(r) {
 		m.count.ignored++
 		m.askRest(a.part, m.here(&a, ev.Leaf), whole(m.parts[a.part]), now)
@@ -156,8 +156,8 @@
 		return now.Add(c.Settle)
 	}
 	at := m.cfg.Start.Add(time.Duration(settleShare * float64(c.Objective)))
-	if m.cfg.SettleBefore > 0 {
-		at = m.cfg.Start.Add(c.Objective - m.cfg.SettleBefore)
+	if m.cfg.SettleMargin > 0 {
+		at = m.cfg.Start.Add(c.Objective - m.cfg.SettleMargin)
 	}
 	if at.Before(now) {
 		return now
--- a/kernel/query/retry.go
+++ b/kernel/query/retry.go
@@ -94,8 +94,8 @@
 		m.groupLost(a, now)
 		return
 	}
-	if ev.Carried != nil {
-		m.failure = ev.Carried
+	if ev.Failure != nil {
+		m.failure = ev.Failure
 	}
 	if ev.Crash {
 		m.crashed(ev, a, now)
@@ -147,10 +147,10 @@
 // mayArrive reports whether one more attempt of the part may go to a leaf. The
 // first arrival at the shard is free, also after dials that failed.
 func (m *Machine) mayArrive(p *part, now time.Time) bool {
-	if m.cfg.Arrivals == nil || !p.reached {
+	if m.cfg.ShardBudget == nil || !p.reached {
 		return true
 	}
-	return m.cfg.Arrivals.TakeRepeat(m.spaces[p.space].now, p.shard, now)
+	return m.cfg.ShardBudget.TakeRepeat(m.spaces[p.space].now, p.shard, now)
 }
 
 // ask offers a part, or holds it while the gate is closed.
