--- a/bench/burst/query.go
+++ b/bench/burst/query.go
@@ -87,8 +87,8 @@
 		if r.p.DeadlineOnly {
 			left = r.p.Deadline
 		}
-		request := dispatch.QueryRequest{Caller: c.Name, Share: c.Share, Priority: k.Priority, Left: left, LeastCoverage: k.LeastCoverage}
-		d := e.admissions[q.kind].Admit(request, []dispatch.Fitter{e.machine}, e.now())
+		request := dispatch.QueryRequest{Caller: c.Name, Share: c.Share, Priority: k.Priority, TimeLeft: left, LeastCoverage: k.LeastCoverage}
+		d := e.admissions[q.kind].Admit(request, []dispatch.LoadEstimator{e.machine}, e.now())
 		if !d.Admitted {
 			r.stats.refused(r, q)
 			r.comeBack(q, d.RetryAfter)
@@ -154,7 +154,7 @@
 		switch act := act.(type) {
 		case dispatch.Dispatch:
 			a := e.attempts[act.Ticket]
-			a.query.waited = max(a.query.waited, int64(act.Queued))
+			a.query.waited = max(a.query.waited, int64(act.QueueTime))
 			e.send(a, act.Leaf)
 		case dispatch.Refuse:
 			a := e.attempts[act.Ticket]
@@ -232,7 +232,7 @@
 	}
 	e.handle(dispatch.Finished{
 		Ticket: a.ticket, Leaf: a.leaf, Outcome: outcome,
-		Latency: time.Duration(e.run.ev.now - a.sent), Service: service,
+		Latency: time.Duration(e.run.ev.now - a.sent), ServiceTime: service,
 	})
 	if kind != replyDone {
 		e.lost(a, true)
@@ -340,7 +340,7 @@
 			useful = q.useful(e.run.p)
 		}
 		waited := !e.run.p.DeadlineOnly && float64(q.waited) > waitedShare*float64(q.due-q.arrived)
-		e.admissions[q.kind].Answered(useful, !useful && (q.late || waited), e.now())
+		e.admissions[q.kind].RecordAnswer(useful, !useful && (q.late || waited), e.now())
 	}
 	e.run.stats.answered(e.run, q)
 }
--- a/bench/decisions/decisions.go
+++ b/bench/decisions/decisions.go
@@ -51,7 +51,7 @@
 func end(d dispatch.Dispatch) dispatch.Finished {
 	return dispatch.Finished{
 		Ticket: d.Ticket, Leaf: d.Leaf, Outcome: dispatch.OutcomeReply,
-		Latency: 11 * time.Millisecond, Service: 10 * time.Millisecond,
+		Latency: 11 * time.Millisecond, ServiceTime: 10 * time.Millisecond,
 	}
 }
 
@@ -111,10 +111,10 @@
 func admit(leaves int) Step {
 	m, shards := newMachine(leaves)
 	a := dispatch.NewAdmission(1)
-	upstreams := []dispatch.Fitter{m}
+	upstreams := []dispatch.LoadEstimator{m}
 	return func(i int) {
 		if i%shards == 0 {
-			a.Admit(dispatch.QueryRequest{Caller: "a", Share: 1, Left: time.Second, LeastCoverage: 1}, upstreams, start)
+			a.Admit(dispatch.QueryRequest{Caller: "a", Share: 1, TimeLeft: time.Second, LeastCoverage: 1}, upstreams, start)
 		}
 	}
 }
--- a/entry/executor/admit.go
+++ b/entry/executor/admit.go
@@ -26,7 +26,7 @@
 	if r.request.Only != nil {
 		return nil
 	}
-	fitters := make([]dispatch.Fitter, 0, len(r.request.Service.Upstreams))
+	fitters := make([]dispatch.LoadEstimator, 0, len(r.request.Service.Upstreams))
 	for _, upstream := range r.request.Service.Upstreams {
 		fitters = append(fitters, r.pool(upstream))
 	}
@@ -35,7 +35,7 @@
 	a.mu.Lock()
 	decision := a.policy.Admit(dispatch.QueryRequest{
 		Caller: r.request.Caller.Name, Share: r.request.Caller.Share, Priority: r.request.Service.Config.Priority,
-		Left: left, LeastCoverage: r.request.Service.Config.LeastCoverage,
+		TimeLeft: left, LeastCoverage: r.request.Service.Config.LeastCoverage,
 	}, fitters, now)
 	a.mu.Unlock()
 	if decision.Admitted {
@@ -43,7 +43,7 @@
 	}
 	e.config.Log.Decide(telemetry.Decision{
 		Part: partQuery, What: "refuse", Query: r.stamp, Request: r.request.name(), Why: "too few parts would finish in time",
-		More: []any{"service", r.request.Service.Config.Name, "fit", decision.Fit, "yields", decision.Yields, "left", left, "retry_after", decision.RetryAfter},
+		More: []any{"service", r.request.Service.Config.Name, "fit", decision.ServableShare, "yields", decision.YieldedToUrgent, "left", left, "retry_after", decision.RetryAfter},
 	})
 	return refuse(RefusedOverloaded, decision.RetryAfter, "too few parts would finish in time")
 }
@@ -77,7 +77,7 @@
 	a := r.service.admission
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.policy.Answered(useful, late, now)
+	a.policy.RecordAnswer(useful, late, now)
 }
 
 // sawWait notes for how long an attempt waited in a queue here.
@@ -103,25 +103,25 @@
 	return false
 }
 
-// Fit implements dispatch.Fitter.
-func (p *pool) Fit(caller string, priority int, within, patience time.Duration) (fit, total int, wait time.Duration) {
+// CountServableShards implements dispatch.LoadEstimator.
+func (p *pool) CountServableShards(caller string, priority int, within, patience time.Duration) (fit, total int, wait time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.machine.Fit(caller, priority, within, patience)
+	return p.machine.CountServableShards(caller, priority, within, patience)
 }
 
-// Yields implements dispatch.Fitter.
-func (p *pool) Yields(priority int, now time.Time) bool {
+// ShouldYield implements dispatch.LoadEstimator.
+func (p *pool) ShouldYield(priority int, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.machine.Yields(priority, now)
+	return p.machine.ShouldYield(priority, now)
 }
 
-// Judged implements dispatch.Fitter.
-func (p *pool) Judged(priority int, taken bool, now time.Time) {
+// RecordDecision implements dispatch.LoadEstimator.
+func (p *pool) RecordDecision(priority int, taken bool, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.machine.Judged(priority, taken, now)
+	p.machine.RecordDecision(priority, taken, now)
 }
 
 // Quantile implements plugin.Quantiler over the pool's recent latencies.
--- a/entry/executor/exchange.go
+++ b/entry/executor/exchange.go
@@ -23,8 +23,8 @@
 func (e *Executor) exchange(p *pool, s start) {
 	a := s.attempt
 	defer a.cancel()
-	e.decide(a, telemetry.Decision{Part: partDispatch, What: "dispatch", Leaf: s.leaf.ID, Why: s.action.Why, Took: s.action.Queued, Class: telemetry.Routine})
-	a.run.sawWait(s.action.Queued)
+	e.decide(a, telemetry.Decision{Part: partDispatch, What: "dispatch", Leaf: s.leaf.ID, Why: s.action.Reason, Took: s.action.QueueTime, Class: telemetry.Routine})
+	a.run.sawWait(s.action.QueueTime)
 	leaf := a.leafIndex(s.leaf.ID)
 	// The deadline is looked at again right before the bytes go: an instance
 	// that was paused since the decision must not start stale work.
@@ -40,14 +40,14 @@
 	request := &leafclient.Request{ID: a.run.id, Attempt: a.token, Version: a.offer.Version, Range: a.offer.Part.Range, Body: a.run.request.Body, Passed: a.run.request.Passed}
 	reply, err := e.config.Leaves.Run(s.ctx, target, request, func() bool { return a.run.maySend(a, leaf) })
 	if err != nil {
-		a.run.service.metrics.Attempt(attemptOutcome(s.ctx, err), s.action.Queued)
+		a.run.service.metrics.Attempt(attemptOutcome(s.ctx, err), s.action.QueueTime)
 		e.failed(s.ctx, p, a, exchanged{leaf: leaf, up: up, err: err})
 		return
 	}
 	a.run.sawRun()
 	a.run.sawReply(a, time.Since(a.started))
 	e.Learn(s.leaf.ID, reply.Said)
-	a.run.service.metrics.Attempt(telemetry.AttemptReply, s.action.Queued)
+	a.run.service.metrics.Attempt(telemetry.AttemptReply, s.action.QueueTime)
 	p.finish(a, dispatch.OutcomeReply, reply.Service)
 	a.run.mail.put(query.Reply{Attempt: a.offer.Attempt, Leaf: leaf, Version: reply.Version, Ranges: reply.Ranges, Body: reply.Body, Versions: reply.Versions, Carried: reply.Carried})
 }
--- a/entry/executor/executor.go
+++ b/entry/executor/executor.go
@@ -58,7 +58,7 @@
 // way is Way, or what is assumed of it.
 func (r *Request) way() time.Duration {
 	if r.Way <= 0 {
-		return margin.UnknownWay
+		return margin.DefaultNetworkDelay
 	}
 	return r.Way
 }
--- a/entry/executor/gather.go
+++ b/entry/executor/gather.go
@@ -17,7 +17,7 @@
 type Gatherer interface {
 	// Plan says which parts of a request others are to gather; nil: none. The shards
 	// that are away would be asked of leaves in other zones.
-	Plan(r *Request, upstream int, away []dispatch.Away) []Group
+	Plan(r *Request, upstream int, away []dispatch.CrossZoneShard) []Group
 	// Gather has a group of Plan's gathered and returns with its end; each reply is
 	// given to got. Other instances run nothing before sent has been called, once, and
 	// has returned true. The error is a *NotGatheredError where nothing has run; after
@@ -74,13 +74,13 @@
 
 // away lists the shards that would be asked of leaves in other zones, by their
 // indexes in the view; false where the pool goes by another view already.
-func (p *pool) away(v *view.View) ([]dispatch.Away, bool) {
+func (p *pool) away(v *view.View) ([]dispatch.CrossZoneShard, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.view != v {
 		return nil, false
 	}
-	return p.machine.Away(time.Now()), true
+	return p.machine.CrossZoneShards(time.Now()), true
 }
 
 // parts are the groups as the kernel knows them.
--- a/entry/executor/leafstate.go
+++ b/entry/executor/leafstate.go
@@ -87,10 +87,10 @@
 }
 
 // life is the leaf's present one, or the one that it has just lost.
-func (s *leafState) life(leafID string) quarantine.Life {
+func (s *leafState) life(leafID string) quarantine.Incarnation {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return quarantine.Life{Leaf: leafID, Number: s.lives[leafID]}
+	return quarantine.Incarnation{Leaf: leafID, Number: s.lives[leafID]}
 }
 
 // up reports whether the leaf has answered since it last broke a connection.
--- a/entry/executor/margins.go
+++ b/entry/executor/margins.go
@@ -11,7 +11,7 @@
 // margins guards this instance's estimate of its own delay by a lock.
 type margins struct {
 	mu  sync.Mutex
-	own margin.Estimate
+	own margin.DelayEstimator
 }
 
 // before is how long before its objective an answer is due, by the way from and to
@@ -22,7 +22,7 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return margin.Before(objective, way, m.own.High(margin.FirstOwn))
+	return margin.ForObjective(objective, way, m.own.UpperBound(margin.InitialOwnDelay))
 }
 
 // Written learns from an answer that has been written. Only one that was due at
--- a/entry/executor/policies.go
+++ b/entry/executor/policies.go
@@ -35,7 +35,7 @@
 // seed differs from upstream to upstream.
 func (p Policies) dispatchConfig(c Config, v *view.View, upstream int) dispatch.Config {
 	return dispatch.Config{
-		Upstream: upstream, View: v, Zone: c.Zone, Policies: p.Dispatch, Queue: c.MaxQueue,
+		Upstream: upstream, View: v, Zone: c.Zone, Policies: p.Dispatch, MaxQueued: c.MaxQueue,
 		Seed: c.Seed ^ maphash.String(hashSeed, v.Upstreams[upstream].Name),
 	}
 }
--- a/entry/executor/pool.go
+++ b/entry/executor/pool.go
@@ -149,7 +149,7 @@
 		delete(p.attempts, a.ticket)
 		return dispatch.Finished{
 			Ticket: a.ticket, Leaf: p.view.Upstreams[p.upstream].Leaf(a.leafID),
-			Outcome: outcome, Latency: time.Since(a.started), Service: service,
+			Outcome: outcome, Latency: time.Since(a.started), ServiceTime: service,
 		}
 	})
 }
--- a/entry/executor/quarantine.go
+++ b/entry/executor/quarantine.go
@@ -21,16 +21,16 @@
 	key     []byte
 	mu      sync.Mutex
 	machine *quarantine.Machine
-	strikes quarantine.Strikes
+	strikes quarantine.LossCounter
 }
 
 // quarantineConfig sets times and bounds of the quarantine.
 var quarantineConfig = quarantine.Config{
-	QuarantineFor: defaultQuarantineFor,
-	SuspectFor:    2 * time.Minute,
-	MaxRecords:    4096,
-	MaxGood:       65536,
-	DigestRecords: 32,
+	QuarantineDuration: defaultQuarantineFor,
+	SuspectDuration:    2 * time.Minute,
+	MaxRecords:         4096,
+	MaxKnownGood:       65536,
+	MaxDigestRecords:   32,
 }
 
 const (
@@ -48,22 +48,22 @@
 func newQuarantineState(key []byte, lasts time.Duration) *quarantineState {
 	config := quarantineConfig
 	if lasts > 0 {
-		config.QuarantineFor = lasts
+		config.QuarantineDuration = lasts
 	}
 	return &quarantineState{
-		key: key, machine: quarantine.New(config), strikes: quarantine.Strikes{For: strikesFor, Most: mostStrikes},
+		key: key, machine: quarantine.New(config), strikes: quarantine.LossCounter{Window: strikesFor, MaxRequests: mostStrikes},
 	}
 }
 
 // lost notes a leaf that was lost under a request. It reports whether that makes the
 // request a suspect, with what is to be reported of it.
-func (s *quarantineState) lost(fingerprint string, leaf quarantine.Life, enough int, now time.Time) (suspect bool, actions []quarantine.Action) {
+func (s *quarantineState) lost(fingerprint string, leaf quarantine.Incarnation, enough int, now time.Time) (suspect bool, actions []quarantine.Action) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.strikes.Lost(fingerprint, leaf, enough, now) {
+	if !s.strikes.RecordLoss(fingerprint, leaf, enough, now) {
 		return false, nil
 	}
-	return true, slices.Clone(s.machine.Handle(quarantine.Observed{Fingerprint: fingerprint, Leaf: leaf.Leaf, Crashed: true}, now))
+	return true, slices.Clone(s.machine.Handle(quarantine.AttemptEnded{Fingerprint: fingerprint, Leaf: leaf.Leaf, Crashed: true}, now))
 }
 
 // ran notes that a leaf ran a request to its end.
@@ -71,7 +71,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.strikes.Empty() {
-		s.strikes.Ran(fingerprint)
+		s.strikes.RecordSuccess(fingerprint)
 	}
 }
 
@@ -104,7 +104,7 @@
 }
 
 // observe notes how an attempt ended.
-func (s *quarantineState) observe(o quarantine.Observed, now time.Time) []quarantine.Action {
+func (s *quarantineState) observe(o quarantine.AttemptEnded, now time.Time) []quarantine.Action {
 	return s.handle(o, now)
 }
 
@@ -121,7 +121,7 @@
 	defer s.mu.Unlock()
 	var out []peerapi.Quarantined
 	for _, r := range s.machine.Digest(now) {
-		out = append(out, peerapi.Quarantined{Fingerprint: r.Fingerprint, Level: r.Level, LeftMS: r.Until.Sub(now).Milliseconds()})
+		out = append(out, peerapi.Quarantined{Fingerprint: r.Fingerprint, Level: r.Level, LeftMS: r.ExpiresAt.Sub(now).Milliseconds()})
 	}
 	return out
 }
@@ -135,9 +135,9 @@
 	records := make([]quarantine.Record, 0, len(list))
 	for _, q := range list {
 		left := time.Duration(min(q.LeftMS, maxLeftMS)) * time.Millisecond
-		records = append(records, quarantine.Record{Fingerprint: q.Fingerprint, Level: q.Level, Until: now.Add(left)})
+		records = append(records, quarantine.Record{Fingerprint: q.Fingerprint, Level: q.Level, ExpiresAt: now.Add(left)})
 	}
-	return s.handle(quarantine.Merged{Records: records}, now)
+	return s.handle(quarantine.RecordsReceived{Records: records}, now)
 }
 
 // lift lets a fingerprint run again.
@@ -151,20 +151,20 @@
 		switch action := action.(type) {
 		case quarantine.Announce:
 			e.config.LeafObserver.SpreadNow()
-		case quarantine.Changed:
+		case quarantine.PhaseChanged:
 			e.tellRuns(action)
 		}
 	}
 }
 
 // tellRuns tells the running queries of a fingerprint what has become of it.
-func (e *Executor) tellRuns(c quarantine.Changed) {
+func (e *Executor) tellRuns(c quarantine.PhaseChanged) {
 	var ev query.Event
 	switch c.Phase {
 	case quarantine.PhaseClear:
 		ev = query.Cleared{}
 	case quarantine.PhaseQuarantined:
-		ev = query.Condemned{RetryAfter: c.Left}
+		ev = query.Condemned{RetryAfter: c.Remaining}
 	default:
 		return
 	}
--- a/entry/executor/run.go
+++ b/entry/executor/run.go
@@ -233,7 +233,7 @@
 		return
 	}
 	e := r.executor
-	actions := e.quarantine.observe(quarantine.Observed{Fingerprint: r.fingerprint, Leaf: a.leafName(v.Leaf), Crashed: v.Crashed, Solo: a.offer.Solo}, time.Now())
+	actions := e.quarantine.observe(quarantine.AttemptEnded{Fingerprint: r.fingerprint, Leaf: a.leafName(v.Leaf), Crashed: v.Crashed, Solo: a.offer.Solo}, time.Now())
 	if v.Crashed {
 		e.decide(a, telemetry.Decision{Part: partQuery, What: "suspect", Leaf: a.leafName(v.Leaf), Why: r.fingerprint})
 	}
--- a/entry/executor/sharing.go
+++ b/entry/executor/sharing.go
@@ -28,8 +28,8 @@
 }
 
 // ReportSlow passes on what other instances saw.
-func (e *Executor) ReportSlow(list []slowness.Slow) {
+func (e *Executor) ReportSlow(list []slowness.SlowLeaf) {
 	for _, p := range e.allPools() {
-		p.handle(func() dispatch.Event { return dispatch.SlowReported{Leaves: list} })
+		p.handle(func() dispatch.Event { return dispatch.SlowLeavesReported{Leaves: list} })
 	}
 }
--- a/entry/gateway/connection.go
+++ b/entry/gateway/connection.go
@@ -56,9 +56,9 @@
 func wayOf(ctx context.Context, start time.Time) time.Duration {
 	c, ok := ctx.Value(connectionKey{}).(*connection)
 	if !ok {
-		return margin.UnknownWay
+		return margin.DefaultNetworkDelay
 	}
 	taken := start.Sub(c.opened)
 	first := !c.used.Swap(true)
-	return margin.Way(c.roundTrip, first && taken < openedWithin, taken)
+	return margin.NetworkDelay(c.roundTrip, first && taken < openedWithin, taken)
 }
--- a/entry/gateway/connection_test.go
+++ b/entry/gateway/connection_test.go
@@ -43,15 +43,15 @@
 	const taken = 3 * time.Millisecond
 	start := c.opened.Add(taken)
 	first, next := wayOf(ctx, start), wayOf(ctx, start.Add(time.Second))
-	if want := margin.Way(c.roundTrip, true, taken); first != want {
+	if want := margin.NetworkDelay(c.roundTrip, true, taken); first != want {
 		t.Errorf("first request %v, want %v", first, want)
 	}
-	if want := margin.Way(c.roundTrip, false, 0); next != want {
+	if want := margin.NetworkDelay(c.roundTrip, false, 0); next != want {
 		t.Errorf("next request %v, want %v", next, want)
 	}
 	ahead := Connected(context.Background(), accepted(t))
 	c = ahead.Value(connectionKey{}).(*connection)
-	if got, want := wayOf(ahead, c.opened.Add(time.Second)), margin.Way(c.roundTrip, false, 0); got != want {
+	if got, want := wayOf(ahead, c.opened.Add(time.Second)), margin.NetworkDelay(c.roundTrip, false, 0); got != want {
 		t.Errorf("a connection opened ahead: %v, want %v", got, want)
 	}
 }
@@ -62,10 +62,10 @@
 	defer a.Close()
 	defer b.Close()
 	now := time.Now()
-	if got := wayOf(Connected(context.Background(), a), now); got != margin.UnknownWay {
-		t.Errorf("a pipe: %v, want %v", got, margin.UnknownWay)
+	if got := wayOf(Connected(context.Background(), a), now); got != margin.DefaultNetworkDelay {
+		t.Errorf("a pipe: %v, want %v", got, margin.DefaultNetworkDelay)
 	}
-	if got := wayOf(context.Background(), now); got != margin.UnknownWay {
-		t.Errorf("no connection: %v, want %v", got, margin.UnknownWay)
+	if got := wayOf(context.Background(), now); got != margin.DefaultNetworkDelay {
+		t.Errorf("no connection: %v, want %v", got, margin.DefaultNetworkDelay)
 	}
 }
--- a/entry/hosted/forwarding/gather.go
+++ b/entry/hosted/forwarding/gather.go
@@ -33,7 +33,7 @@
 
 // Plan implements executor.Gatherer. Only parts that a combiner merges are gathered
 // elsewhere.
-func (f *Forwarder) Plan(r *executor.Request, upstream int, away []dispatch.Away) []executor.Group {
+func (f *Forwarder) Plan(r *executor.Request, upstream int, away []dispatch.CrossZoneShard) []executor.Group {
 	if r.Service.Config.TopK <= 0 {
 		return nil
 	}
@@ -47,7 +47,7 @@
 }
 
 // zonesOf tells in which zones shards could be gathered.
-func zonesOf(v *view.View, away []dispatch.Away) []gather.Shard {
+func zonesOf(v *view.View, away []dispatch.CrossZoneShard) []gather.Shard {
 	out := make([]gather.Shard, 0, len(away))
 	for _, a := range away {
 		s := gather.Shard{Index: a.Shard}
--- a/entry/hosted/forwarding/gather_test.go
+++ b/entry/hosted/forwarding/gather_test.go
@@ -123,9 +123,9 @@
 func plansWhatIsAway(t *testing.T) {
 	n := elsewhere(t, strong{})
 	r := twoZones(t, 5)
-	var away []dispatch.Away
+	var away []dispatch.CrossZoneShard
 	for _, shard := range []int{1, 3, 5, 7} {
-		away = append(away, dispatch.Away{Shard: shard, Leaves: r.View.Upstreams[0].Shards[shard].Leaves})
+		away = append(away, dispatch.CrossZoneShard{Shard: shard, Leaves: r.View.Upstreams[0].Shards[shard].Leaves})
 	}
 	got := n.Plan(r, 0, away)
 	want := []keyrange.Range{{From: 1, To: 2}, {From: 3, To: 4}, {From: 5, To: 6}, {From: 7, To: 8}}
--- a/entry/hosted/forwarding/relay.go
+++ b/entry/hosted/forwarding/relay.go
@@ -204,7 +204,7 @@
 type delayEstimate struct {
 	first    time.Duration // assumed before anything was observed
 	mu       sync.Mutex
-	estimate margin.Estimate
+	estimate margin.DelayEstimator
 }
 
 // firstDelay is what is assumed of a hand-over by an instance with a share of a core.
@@ -226,5 +226,5 @@
 func (h *delayEstimate) high() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return min(h.estimate.High(h.first), mostForwardDelay)
+	return min(h.estimate.UpperBound(h.first), mostForwardDelay)
 }
--- a/entry/hosted/slowleaves/slowleaves.go
+++ b/entry/hosted/slowleaves/slowleaves.go
@@ -20,7 +20,7 @@
 	mu       sync.Mutex
 	detector *slowness.Detector
 	pending  []slowness.Observation // for the instance that this one asks
-	others   []slowness.Slow        // what that one reported
+	others   []slowness.SlowLeaf    // what that one reported
 }
 
 // New makes an empty one.
@@ -42,7 +42,7 @@
 func (s *Exchange) Observe(seen []peerapi.SeenLeaf, now time.Time) {
 	list := make([]slowness.Observation, 0, len(seen))
 	for _, l := range seen {
-		list = append(list, slowness.Observation{Leaf: l.Leaf, Took: ms(l.TookMS), Slow: l.Slow, At: now.Add(-ms(l.AgeMS))})
+		list = append(list, slowness.Observation{Leaf: l.Leaf, Elapsed: ms(l.TookMS), Slow: l.Slow, At: now.Add(-ms(l.AgeMS))})
 	}
 	s.Add(list, now)
 }
@@ -56,7 +56,7 @@
 	defer s.mu.Unlock()
 	out := make([]peerapi.SeenLeaf, 0, len(s.pending))
 	for _, p := range s.pending {
-		out = append(out, peerapi.SeenLeaf{Leaf: p.Leaf, TookMS: p.Took.Milliseconds(), Slow: p.Slow, AgeMS: now.Sub(p.At).Milliseconds()})
+		out = append(out, peerapi.SeenLeaf{Leaf: p.Leaf, TookMS: p.Elapsed.Milliseconds(), Slow: p.Slow, AgeMS: now.Sub(p.At).Milliseconds()})
 	}
 	s.pending = s.pending[:0]
 	return out
@@ -64,9 +64,9 @@
 
 // SetReported keeps what the asked instance says.
 func (s *Exchange) SetReported(slow []peerapi.SeenLeaf, began time.Time) {
-	list := make([]slowness.Slow, 0, len(slow))
+	list := make([]slowness.SlowLeaf, 0, len(slow))
 	for _, l := range slow {
-		list = append(list, slowness.Slow{Leaf: l.Leaf, Took: ms(l.TookMS), At: began.Add(-ms(l.AgeMS))})
+		list = append(list, slowness.SlowLeaf{Leaf: l.Leaf, Elapsed: ms(l.TookMS), At: began.Add(-ms(l.AgeMS))})
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -74,10 +74,10 @@
 }
 
 // Slow lists the leaves that are taken to be slow here or by the asked instance.
-func (s *Exchange) Slow(now time.Time) []slowness.Slow {
+func (s *Exchange) Slow(now time.Time) []slowness.SlowLeaf {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	own := s.detector.Slow(now)
+	own := s.detector.SlowLeaves(now)
 	known := make(map[string]bool, len(own))
 	for _, l := range own {
 		known[l.Leaf] = true
@@ -94,7 +94,7 @@
 func (s *Exchange) Report(now time.Time) []peerapi.SeenLeaf {
 	var out []peerapi.SeenLeaf
 	for _, l := range s.Slow(now) {
-		out = append(out, peerapi.SeenLeaf{Leaf: l.Leaf, TookMS: l.Took.Milliseconds(), Slow: true, AgeMS: now.Sub(l.At).Milliseconds()})
+		out = append(out, peerapi.SeenLeaf{Leaf: l.Leaf, TookMS: l.Elapsed.Milliseconds(), Slow: true, AgeMS: now.Sub(l.At).Milliseconds()})
 	}
 	return out
 }
--- a/kernel/dispatch/admission.go
+++ b/kernel/dispatch/admission.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Fitter tells how a query's parts would fare on one upstream; *Machine is one.
-type Fitter interface {
-	Fit(caller string, priority int, within, patience time.Duration) (fit, total int, wait time.Duration)
-	// Yields says that a more urgent query is refused so often that this one is, too.
-	Yields(priority int, now time.Time) bool
-	// Judged is called with each decision.
-	Judged(priority int, taken bool, now time.Time)
+// LoadEstimator tells how a query's parts would fare on one upstream; *Machine is one.
+type LoadEstimator interface {
+	CountServableShards(caller string, priority int, within, patience time.Duration) (fit, total int, wait time.Duration)
+	// ShouldYield says that a more urgent query is refused so often that this one is, too.
+	ShouldYield(priority int, now time.Time) bool
+	// RecordDecision is called with each decision.
+	RecordDecision(priority int, taken bool, now time.Time)
 }
 
 // Decision says whether a query is taken in. A refused query has run nowhere.
@@ -19,10 +19,10 @@
 	Admitted bool
 	// RetryAfter is when a refused caller should come back.
 	RetryAfter time.Duration
-	// Fit is the share of shards that would answer in time, in [0, 1].
-	Fit float64
-	// Yields says that it was refused for more urgent queries.
-	Yields bool
+	// ServableShare is the share of shards that would answer in time, in [0, 1].
+	ServableShare float64
+	// YieldedToUrgent says that it was refused for more urgent queries.
+	YieldedToUrgent bool
 }
 
 // Patience is the share of a query's time that it may spend in a queue here.
@@ -51,8 +51,8 @@
 	Share int
 	// Priority is the service's; 0 is the most urgent.
 	Priority int
-	// Left is the time in which an answer has its full value.
-	Left time.Duration
+	// TimeLeft is the time in which an answer has its full value.
+	TimeLeft time.Duration
 	// LeastCoverage is the share of shards from which the answer is useful.
 	LeastCoverage float64
 }
@@ -79,27 +79,27 @@
 }
 
 // Admit decides on a query over the given upstreams. At least one shard must fit.
-func (a *Admission) Admit(q QueryRequest, upstreams []Fitter, now time.Time) Decision {
+func (a *Admission) Admit(q QueryRequest, upstreams []LoadEstimator, now time.Time) Decision {
 	a.age(now)
 	factor := a.usage.offered(q.Caller, q.Share, now)
-	patience := time.Duration(min(patienceMost, a.patience*factor) * float64(q.Left))
+	patience := time.Duration(min(patienceMost, a.patience*factor) * float64(q.TimeLeft))
 	fit, total := 0, 0
 	var wait time.Duration
 	for _, u := range upstreams {
-		f, t, w := u.Fit(q.Caller, q.Priority, q.Left, patience)
+		f, t, w := u.CountServableShards(q.Caller, q.Priority, q.TimeLeft, patience)
 		fit, total, wait = fit+f, total+t, max(wait, w)
 	}
-	d := Decision{Fit: 1}
+	d := Decision{ServableShare: 1}
 	if total > 0 {
-		d.Fit = float64(fit) / float64(total)
+		d.ServableShare = float64(fit) / float64(total)
 	}
-	d.Admitted = (fit > 0 || total == 0) && d.Fit >= q.LeastCoverage
+	d.Admitted = (fit > 0 || total == 0) && d.ServableShare >= q.LeastCoverage
 	for _, u := range upstreams {
-		d.Yields = d.Yields || d.Admitted && u.Yields(q.Priority, now)
+		d.YieldedToUrgent = d.YieldedToUrgent || d.Admitted && u.ShouldYield(q.Priority, now)
 	}
-	d.Admitted = d.Admitted && !d.Yields
+	d.Admitted = d.Admitted && !d.YieldedToUrgent
 	for _, u := range upstreams {
-		u.Judged(q.Priority, d.Admitted, now)
+		u.RecordDecision(q.Priority, d.Admitted, now)
 	}
 	if d.Admitted {
 		a.admitted++
@@ -113,11 +113,11 @@
 	return d
 }
 
-// Answered tells how an admitted query ended: useful when it met the least
+// RecordAnswer tells how an admitted query ended: useful when it met the least
 // coverage while the answer had its full value, late when it did not since it had to
 // wait (and not because a shard has no leaf, or a leaf is slow, say: to take in fewer
 // queries would mend neither).
-func (a *Admission) Answered(useful, late bool, now time.Time) {
+func (a *Admission) RecordAnswer(useful, late bool, now time.Time) {
 	switch {
 	case late:
 		a.patience = max(patienceLeast, a.patience-patienceDown)
--- a/kernel/dispatch/admission_test.go
+++ b/kernel/dispatch/admission_test.go
@@ -9,7 +9,7 @@
 // fakeFit is an upstream with a given wait on each of its shards.
 type fakeFit []time.Duration
 
-func (f fakeFit) Fit(_ string, _ int, within, patience time.Duration) (fit, total int, wait time.Duration) {
+func (f fakeFit) CountServableShards(_ string, _ int, within, patience time.Duration) (fit, total int, wait time.Duration) {
 	for _, w := range f {
 		if w <= patience && w <= within {
 			fit++
@@ -19,24 +19,24 @@
 	return fit, len(f), wait
 }
 
-func (fakeFit) Yields(int, time.Time) bool  { return false }
-func (fakeFit) Judged(int, bool, time.Time) {}
+func (fakeFit) ShouldYield(int, time.Time) bool     { return false }
+func (fakeFit) RecordDecision(int, bool, time.Time) {}
 
 // request is a query of caller a with a second left that needs everything.
-var request = QueryRequest{Caller: "a", Share: 1, Left: time.Second, LeastCoverage: 1}
+var request = QueryRequest{Caller: "a", Share: 1, TimeLeft: time.Second, LeastCoverage: 1}
 
 func TestAdmissionDecidesOnTheWholeQuery(t *testing.T) {
 	short, long := 10*time.Millisecond, 2*time.Second
 	for _, c := range []struct {
-		upstreams []Fitter
+		upstreams []LoadEstimator
 		least     float64
 		want      bool
 	}{
-		{[]Fitter{fakeFit{short, short}, fakeFit{short}}, 1, true},
-		{[]Fitter{fakeFit{short, short}, fakeFit{long}}, 1, false},
-		{[]Fitter{fakeFit{short, short}, fakeFit{long}}, 0.6, true},
-		{[]Fitter{fakeFit{short, long}, fakeFit{long}}, 0.6, false},
-		{[]Fitter{fakeFit{long}}, 0, false}, // nothing would answer
+		{[]LoadEstimator{fakeFit{short, short}, fakeFit{short}}, 1, true},
+		{[]LoadEstimator{fakeFit{short, short}, fakeFit{long}}, 1, false},
+		{[]LoadEstimator{fakeFit{short, short}, fakeFit{long}}, 0.6, true},
+		{[]LoadEstimator{fakeFit{short, long}, fakeFit{long}}, 0.6, false},
+		{[]LoadEstimator{fakeFit{long}}, 0, false}, // nothing would answer
 	} {
 		q := request
 		q.LeastCoverage = c.least
@@ -52,12 +52,12 @@
 	mean := func(refused int) time.Duration {
 		a := NewAdmission(1)
 		for range 20 {
-			a.Admit(request, []Fitter{fakeFit{0}}, start)
+			a.Admit(request, []LoadEstimator{fakeFit{0}}, start)
 		}
 		var sum time.Duration
 		seen := map[time.Duration]bool{}
 		for range refused {
-			d := a.Admit(request, []Fitter{fakeFit{2 * time.Second}}, start)
+			d := a.Admit(request, []LoadEstimator{fakeFit{2 * time.Second}}, start)
 			if d.Admitted || d.RetryAfter < 2*time.Second || d.RetryAfter > mostRetryAfter {
 				t.Fatalf("decision %+v, want a refusal beyond the wait", d)
 			}
@@ -83,9 +83,9 @@
 	for seed := range uint64(10) {
 		a := NewAdmission(seed)
 		for range 50 {
-			a.Admit(request, []Fitter{fakeFit{2 * time.Second}}, start)
+			a.Admit(request, []LoadEstimator{fakeFit{2 * time.Second}}, start)
 		}
-		after := a.Admit(request, []Fitter{fakeFit{2 * time.Second}}, start).RetryAfter
+		after := a.Admit(request, []LoadEstimator{fakeFit{2 * time.Second}}, start).RetryAfter
 		if after < 2*time.Second || after > mostRetryAfter {
 			t.Fatalf("come back after %v, want within the bounds", after)
 		}
@@ -98,31 +98,31 @@
 
 func TestPatienceFollowsOutcomes(t *testing.T) {
 	a := NewAdmission(1)
-	wait := []Fitter{fakeFit{200 * time.Millisecond}}
+	wait := []LoadEstimator{fakeFit{200 * time.Millisecond}}
 	if !a.Admit(request, wait, start).Admitted {
 		t.Fatal("a wait of a fifth of the time was refused at first")
 	}
 	for range 3 {
-		a.Answered(false, true, start)
+		a.RecordAnswer(false, true, start)
 	}
 	if a.Admit(request, wait, start).Admitted {
 		t.Fatal("still admitted after answers that came short for lack of time")
 	}
 	for range 300 { // refusal is recent: useful answers raise the patience
-		a.Answered(true, false, start)
+		a.RecordAnswer(true, false, start)
 	}
 	if !a.Admit(request, wait, start).Admitted {
 		t.Fatal("still refused after many useful answers")
 	}
 	patience := a.patience
 	for range 50 {
-		a.Answered(false, false, start) // short for another reason
+		a.RecordAnswer(false, false, start) // short for another reason
 	}
 	if a.patience != patience {
 		t.Fatalf("patience moved to %v by answers that were not late", a.patience)
 	}
 	for range 1000 { // calm: no refusal for a while
-		a.Answered(true, false, start.Add(time.Minute))
+		a.RecordAnswer(true, false, start.Add(time.Minute))
 	}
 	if a.patience != patience {
 		t.Fatalf("patience rose to %v in a calm, which a burst would pay for", a.patience)
@@ -141,7 +141,7 @@
 		q := request
 		q.Caller = caller
 		wait := time.Duration(queue * float64(time.Second))
-		if a.Admit(q, []Fitter{fakeFit{wait}}, now).Admitted {
+		if a.Admit(q, []LoadEstimator{fakeFit{wait}}, now).Admitted {
 			admitted[caller]++
 			queue += 0.010 // a hundred a second are served
 		}
--- a/kernel/dispatch/away_test.go
+++ b/kernel/dispatch/away_test.go
@@ -32,18 +32,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := m.Away(start)
+	got := m.CrossZoneShards(start)
 	// Shard 1 has its first leaf elsewhere, that of shard 3 in the own zone leaves.
-	want := []Away{
+	want := []CrossZoneShard{
 		{Shard: 1, Leaves: []int{v.Upstreams[0].Leaf("l1-0")}},
 		{Shard: 3, Leaves: []int{v.Upstreams[0].Leaf("l3-1")}},
 	}
-	same := slices.EqualFunc(got, want, func(a, b Away) bool { return a.Shard == b.Shard && slices.Equal(a.Leaves, b.Leaves) })
+	same := slices.EqualFunc(got, want, func(a, b CrossZoneShard) bool { return a.Shard == b.Shard && slices.Equal(a.Leaves, b.Leaves) })
 	if !same {
 		t.Errorf("away %v, want %v", got, want)
 	}
 	m.Handle(offered(1), start) // takes the one connection to the leaf of shard 0
-	if again := m.Away(start); len(again) != len(want) {
+	if again := m.CrossZoneShards(start); len(again) != len(want) {
 		t.Errorf("away %v after a leaf of the own zone is full, want no more than before", again)
 	}
 }
--- a/kernel/dispatch/config.go
+++ b/kernel/dispatch/config.go
@@ -36,9 +36,9 @@
 	// Zone is this entry's availability zone.
 	Zone     string
 	Policies Policies
-	// Queue is the most attempts that wait per shard; 0 sets no bound but time.
-	Queue int
-	Seed  uint64
+	// MaxQueued is the most attempts that wait per shard; 0 sets no bound but time.
+	MaxQueued int
+	Seed      uint64
 }
 
 // ConfigError says which field of Config is wrong.
--- a/kernel/dispatch/estimate.go
+++ b/kernel/dispatch/estimate.go
@@ -99,25 +99,25 @@
 type Estimate struct {
 	// Wait is the expected queueing time at this entry of the worst shard.
 	Wait time.Duration
-	// Median and Most are quantiles of the latency after dispatch.
-	Median, Most time.Duration
+	// Median and High are quantiles of the latency after dispatch.
+	Median, High time.Duration
 	// Backlog is the number of attempts that wait at this entry.
 	Backlog int
 }
 
 // Estimate returns the present estimate over all shards.
 func (m *Machine) Estimate(_ time.Time) Estimate {
-	e := Estimate{Median: m.times.median, Most: m.times.most, Backlog: len(m.waiting)}
+	e := Estimate{Median: m.times.median, High: m.times.most, Backlog: len(m.waiting)}
 	for _, s := range m.shards {
 		e.Wait = max(e.Wait, m.drainTime(s))
 	}
 	return e
 }
 
-// Fit counts the shards on which a new attempt of the caller and priority would wait no
+// CountServableShards counts the shards on which a new attempt of the caller and priority would wait no
 // longer than patience and still finish within the given time, and all shards.
 // wait is the longest queueing time among the shards.
-func (m *Machine) Fit(caller string, priority int, within, patience time.Duration) (fit, total int, wait time.Duration) {
+func (m *Machine) CountServableShards(caller string, priority int, within, patience time.Duration) (fit, total int, wait time.Duration) {
 	w := m.weight(caller)
 	for _, s := range m.shards {
 		if s.idle() {
--- a/kernel/dispatch/machine.go
+++ b/kernel/dispatch/machine.go
@@ -60,7 +60,7 @@
 		if l := m.byIndex[ev.Leaf]; l != nil {
 			m.routing.Hint(l.key, ev.InFlight, ev.Queued, now)
 		}
-	case SlowReported:
+	case SlowLeavesReported:
 		m.peersReported(ev.Leaves)
 	case Tick:
 		m.tick(now)
@@ -200,7 +200,7 @@
 		TimedOut:  ev.Outcome == OutcomeTimeout,
 		Cancelled: ev.Outcome == OutcomeCancelled,
 		Latency:   ev.Latency,
-		Service:   ev.Service,
+		Service:   ev.ServiceTime,
 		Saturated: a.saturated,
 		Backlog:   a.shard.queue.length > 0,
 	}
--- a/kernel/dispatch/machine_test.go
+++ b/kernel/dispatch/machine_test.go
@@ -129,7 +129,7 @@
 		o.Deadline = now.Add(200 * time.Millisecond)
 		return o
 	}
-	if fit, total, _ := m.Fit("a", 0, 200*time.Millisecond, 0); fit != total {
+	if fit, total, _ := m.CountServableShards("a", 0, 200*time.Millisecond, 0); fit != total {
 		t.Fatalf("%d of %d shards fit although nothing runs", fit, total)
 	}
 	for q := 1000; q < 1064; q++ {
--- a/kernel/dispatch/messages.go
+++ b/kernel/dispatch/messages.go
@@ -41,11 +41,11 @@
 
 // Finished reports the end of a dispatched attempt.
 type Finished struct {
-	Ticket  Ticket
-	Leaf    int
-	Outcome Outcome
-	Latency time.Duration // from dispatch to the end
-	Service time.Duration // the leaf's own run time, 0 when it did not say
+	Ticket      Ticket
+	Leaf        int
+	Outcome     Outcome
+	Latency     time.Duration // from dispatch to the end
+	ServiceTime time.Duration // the leaf's own run time, 0 when it did not say
 }
 
 // ViewChanged gives a new view; running attempts keep their leaf by ID.
@@ -58,19 +58,19 @@
 	Queued   int
 }
 
-// SlowReported passes on what other instances saw of leaves, by their IDs.
-type SlowReported struct{ Leaves []slowness.Slow }
+// SlowLeavesReported passes on what other instances saw of leaves, by their IDs.
+type SlowLeavesReported struct{ Leaves []slowness.SlowLeaf }
 
 // Tick lets time-driven work happen (expiry, probing).
 type Tick struct{}
 
-func (Offered) isEvent()      {}
-func (Withdrawn) isEvent()    {}
-func (Finished) isEvent()     {}
-func (ViewChanged) isEvent()  {}
-func (LoadHint) isEvent()     {}
-func (SlowReported) isEvent() {}
-func (Tick) isEvent()         {}
+func (Offered) isEvent()            {}
+func (Withdrawn) isEvent()          {}
+func (Finished) isEvent()           {}
+func (ViewChanged) isEvent()        {}
+func (LoadHint) isEvent()           {}
+func (SlowLeavesReported) isEvent() {}
+func (Tick) isEvent()               {}
 
 // Outcome is how a dispatched attempt ended.
 type Outcome int
@@ -91,11 +91,11 @@
 
 // Dispatch runs an attempt on a leaf now.
 type Dispatch struct {
-	Ticket Ticket
-	Shard  int
-	Leaf   int
-	Queued time.Duration // how long it waited
-	Why    string        // short reason of the choice, for the decision log
+	Ticket    Ticket
+	Shard     int
+	Leaf      int
+	QueueTime time.Duration // how long it waited
+	Reason    string        // short reason of the choice, for the decision log
 }
 
 // Refuse says that an attempt will not be dispatched. It never ran.
--- a/kernel/dispatch/precedence.go
+++ b/kernel/dispatch/precedence.go
@@ -87,11 +87,13 @@
 	r.taken++
 }
 
-// Yields reports whether a query of a priority is to be refused since a more urgent one
+// ShouldYield reports whether a query of a priority is to be refused since a more urgent one
 // of the upstream is.
-func (m *Machine) Yields(priority int, now time.Time) bool { return m.precedence.yields(priority, now) }
+func (m *Machine) ShouldYield(priority int, now time.Time) bool {
+	return m.precedence.yields(priority, now)
+}
 
-// Judged tells of a decision on a query of a priority.
-func (m *Machine) Judged(priority int, taken bool, now time.Time) {
+// RecordDecision tells of a decision on a query of a priority.
+func (m *Machine) RecordDecision(priority int, taken bool, now time.Time) {
 	m.precedence.judged(priority, taken, now)
 }
--- a/kernel/dispatch/precedence_test.go
+++ b/kernel/dispatch/precedence_test.go
@@ -13,13 +13,13 @@
 	now := start
 	taken := 0
 	ask := func() bool {
-		yields := m.Yields(2, now)
-		m.Judged(2, !yields, now)
+		yields := m.ShouldYield(2, now)
+		m.RecordDecision(2, !yields, now)
 		return !yields
 	}
 	const queries = 200
 	for i := range queries {
-		m.Judged(1, i%2 == 0, now)
+		m.RecordDecision(1, i%2 == 0, now)
 		if ask() {
 			taken++
 		}
@@ -38,19 +38,19 @@
 func TestUrgentNeverYields(t *testing.T) {
 	m := newTestMachine(t, testView(1, 1, 1, 1, 1))
 	for range 100 {
-		m.Judged(2, false, start)
-		if m.Yields(1, start) {
+		m.RecordDecision(2, false, start)
+		if m.ShouldYield(1, start) {
 			t.Fatal("an urgent query yields to a less urgent one")
 		}
-		m.Judged(1, true, start)
+		m.RecordDecision(1, true, start)
 	}
 }
 
 // TestFewQueriesYieldToNobody asks too seldom for a share to say anything.
 func TestFewQueriesYieldToNobody(t *testing.T) {
 	m := newTestMachine(t, testView(1, 1, 1, 1, 1))
-	m.Judged(0, false, start)
-	if m.Yields(1, start) {
+	m.RecordDecision(0, false, start)
+	if m.ShouldYield(1, start) {
 		t.Error("one refused query is no reason to refuse another")
 	}
 }
--- a/kernel/dispatch/queue_test.go
+++ b/kernel/dispatch/queue_test.go
@@ -84,7 +84,7 @@
 	}
 	now := start.Add(100 * time.Millisecond)
 	m.Handle(reply(0, 40*time.Millisecond), now)
-	if _, _, wait := m.Fit("a", 0, second, second); wait != 0 {
+	if _, _, wait := m.CountServableShards("a", 0, second, second); wait != 0 {
 		t.Errorf("a wait of %v behind work that is late", wait)
 	}
 	m.Handle(Withdrawn{Ticket: ticket(5)}, now) // one that is late leaves the queue
--- a/kernel/dispatch/serve.go
+++ b/kernel/dispatch/serve.go
@@ -170,6 +170,6 @@
 	a.saturated = l.inFlight >= l.limit.Limit()
 	m.running[a.ticket] = a
 	m.actions = append(m.actions, Dispatch{
-		Ticket: a.ticket, Shard: a.shard.index, Leaf: l.index, Queued: now.Sub(a.offered), Why: why,
+		Ticket: a.ticket, Shard: a.shard.index, Leaf: l.index, QueueTime: now.Sub(a.offered), Reason: why,
 	})
 }
--- a/kernel/dispatch/sharing.go
+++ b/kernel/dispatch/sharing.go
@@ -25,22 +25,22 @@
 	out := make([]slowness.Observation, 0, len(seen))
 	for _, s := range seen {
 		if id, ok := ids[s.Key]; ok {
-			out = append(out, slowness.Observation{Leaf: id, Took: s.Took, Slow: s.Slow, At: s.At})
+			out = append(out, slowness.Observation{Leaf: id, Elapsed: s.Took, Slow: s.Slow, At: s.At})
 		}
 	}
 	return out
 }
 
-// Away is a shard whose next attempt would go to a leaf of another zone.
-type Away struct {
+// CrossZoneShard is a shard whose next attempt would go to a leaf of another zone.
+type CrossZoneShard struct {
 	Shard int // index in the view
 	// Leaves are those that would be about as good, by their indexes in the view.
 	Leaves []int
 }
 
-// Away lists the shards whose next attempt would go to a leaf of another zone.
-func (m *Machine) Away(now time.Time) []Away {
-	var out []Away
+// CrossZoneShards lists the shards whose next attempt would go to a leaf of another zone.
+func (m *Machine) CrossZoneShards(now time.Time) []CrossZoneShard {
+	var out []CrossZoneShard
 	for _, s := range m.shards {
 		if !m.gather(&attempt{shard: s}, now) {
 			continue
@@ -49,7 +49,7 @@
 		if m.candidates[good[0]].Local {
 			continue
 		}
-		a := Away{Shard: s.index}
+		a := CrossZoneShard{Shard: s.index}
 		for _, i := range good {
 			if !m.candidates[i].Local {
 				a.Leaves = append(a.Leaves, m.chosen[i].index)
@@ -70,14 +70,14 @@
 }
 
 // peersReported passes the reports of other instances to the routing policy.
-func (m *Machine) peersReported(list []slowness.Slow) {
+func (m *Machine) peersReported(list []slowness.SlowLeaf) {
 	sharer, ok := m.routing.(plugin.Sharer)
 	if !ok {
 		return
 	}
 	for _, s := range list {
 		if l := m.leaves[s.Leaf]; l != nil {
-			sharer.PeerReported(l.key, s.Took, s.At)
+			sharer.PeerReported(l.key, s.Elapsed, s.At)
 		}
 	}
 }
--- a/kernel/margin/margin.go
+++ b/kernel/margin/margin.go
@@ -7,12 +7,12 @@
 import "time"
 
 const (
-	// FirstOwn is assumed of an instance's own delay before anything is known.
-	FirstOwn = 4 * time.Millisecond
-	// UnknownWay is assumed of the way from and to a caller whose connection does
+	// InitialOwnDelay is assumed of an instance's own delay before anything is known.
+	InitialOwnDelay = 4 * time.Millisecond
+	// DefaultNetworkDelay is assumed of the way from and to a caller whose connection does
 	// not tell its round trip: two of 6 ms, which a new connection takes, and 2 ms to
 	// be received on a small share of a core.
-	UnknownWay = 14 * time.Millisecond
+	DefaultNetworkDelay = 14 * time.Millisecond
 	// unseen is kept for what an instance can't measure: until it is given the
 	// processor to read a request, and until the answer has left. Of 1106 queries of a
 	// calm day over 71 instances, most with a fifth of a core, 59 to 68 came late
@@ -29,14 +29,14 @@
 	most = 0.5
 )
 
-// Estimate is what is known of one delay. It is used by one goroutine at a time.
-type Estimate struct {
+// DelayEstimator is what is known of one delay. It is used by one goroutine at a time.
+type DelayEstimator struct {
 	known        bool
 	mean, spread float64 // seconds
 }
 
 // Observe takes one delay.
-func (e *Estimate) Observe(d time.Duration) {
+func (e *DelayEstimator) Observe(d time.Duration) {
 	x := max(d, 0).Seconds()
 	if !e.known {
 		e.known, e.mean, e.spread = true, x, x/2
@@ -47,26 +47,26 @@
 	e.spread += spreadGain * (max(off, -off) - e.spread)
 }
 
-// High is what most delays do not exceed, or first before any was seen.
-func (e *Estimate) High(first time.Duration) time.Duration {
+// UpperBound is what most delays do not exceed, or first before any was seen.
+func (e *DelayEstimator) UpperBound(first time.Duration) time.Duration {
 	if !e.known {
 		return first
 	}
 	return time.Duration((e.mean + spreads*e.spread) * float64(time.Second))
 }
 
-// Before is how long before the objective an answer is due, by the way from and to
+// ForObjective is how long before the objective an answer is due, by the way from and to
 // the caller and the instance's own delay.
-func Before(objective, way, own time.Duration) time.Duration {
+func ForObjective(objective, way, own time.Duration) time.Duration {
 	return min(way+own, time.Duration(most*float64(objective)))
 }
 
-// Way is the time that a request and its answer spend between caller and instance,
+// NetworkDelay is the time that a request and its answer spend between caller and instance,
 // by the connection's round trip; 0: it is not known. A request that opened its
 // connection waited for that first, and for the instance to take it.
-func Way(roundTrip time.Duration, opened bool, taken time.Duration) time.Duration {
+func NetworkDelay(roundTrip time.Duration, opened bool, taken time.Duration) time.Duration {
 	if roundTrip <= 0 {
-		return UnknownWay
+		return DefaultNetworkDelay
 	}
 	if !opened {
 		return roundTrip + unseen
--- a/kernel/margin/margin_test.go
+++ b/kernel/margin/margin_test.go
@@ -23,13 +23,13 @@
 		{"uneven", []time.Duration{2 * time.Millisecond, 20 * time.Millisecond}, 28 * time.Millisecond, 42 * time.Millisecond},
 		{"hopeless", []time.Duration{200 * time.Millisecond}, 50 * time.Millisecond, 50 * time.Millisecond},
 	} {
-		var e Estimate
+		var e DelayEstimator
 		for range 50 {
 			for _, d := range tc.late {
 				e.Observe(d)
 			}
 		}
-		if got := Before(objective, way, e.High(FirstOwn)); got < tc.least || got > tc.mostB {
+		if got := ForObjective(objective, way, e.UpperBound(InitialOwnDelay)); got < tc.least || got > tc.mostB {
 			t.Errorf("%s: due %v before the objective, want %v to %v", tc.name, got, tc.least, tc.mostB)
 		}
 	}
@@ -37,14 +37,14 @@
 
 // TestMarginRecovers lets an instance that was slow become fast.
 func TestMarginRecovers(t *testing.T) {
-	var e Estimate
+	var e DelayEstimator
 	for range 20 {
 		e.Observe(40 * time.Millisecond)
 	}
 	for range 60 {
 		e.Observe(time.Millisecond)
 	}
-	if got := Before(objective, way, e.High(FirstOwn)); got > 12*time.Millisecond {
+	if got := ForObjective(objective, way, e.UpperBound(InitialOwnDelay)); got > 12*time.Millisecond {
 		t.Errorf("due %v before the objective after it has become fast again", got)
 	}
 }
@@ -58,11 +58,11 @@
 		taken     time.Duration
 		want      time.Duration
 	}{
-		{"not known", 0, true, time.Millisecond, UnknownWay},
+		{"not known", 0, true, time.Millisecond, DefaultNetworkDelay},
 		{"kept", 6 * time.Millisecond, false, time.Millisecond, 6*time.Millisecond + unseen},
 		{"new", 6 * time.Millisecond, true, 3 * time.Millisecond, 15*time.Millisecond + unseen},
 	} {
-		if got := Way(tc.roundTrip, tc.opened, tc.taken); got != tc.want {
+		if got := NetworkDelay(tc.roundTrip, tc.opened, tc.taken); got != tc.want {
 			t.Errorf("%s: %v, want %v", tc.name, got, tc.want)
 		}
 	}
--- a/kernel/quarantine/bench_test.go
+++ b/kernel/quarantine/bench_test.go
@@ -10,12 +10,12 @@
 // BenchmarkAdmit asks for known-good fingerprints beside full records.
 func BenchmarkAdmit(b *testing.B) {
 	big := cfg
-	big.MaxRecords, big.MaxGood = 1024, 100_000
+	big.MaxRecords, big.MaxKnownGood = 1024, 100_000
 	m := quarantine.New(big)
 	names := make([]string, 50_000)
 	for i := range names {
 		names[i] = fmt.Sprintf("%016x", i)
-		m.Handle(quarantine.Observed{Fingerprint: names[i], Crashed: i%50 == 0}, epoch)
+		m.Handle(quarantine.AttemptEnded{Fingerprint: names[i], Crashed: i%50 == 0}, epoch)
 	}
 	b.ReportAllocs()
 	n := 0
--- a/kernel/quarantine/fleet_test.go
+++ b/kernel/quarantine/fleet_test.go
@@ -152,7 +152,7 @@
 
 // verdict tells the entry's quarantine, and by push its peers.
 func (f *fleet) verdict(q *running, v query.Verdict) {
-	ev := quarantine.Observed{Fingerprint: q.fingerprint, Leaf: f.view.Leaves[v.Leaf].ID, Crashed: v.Crashed, Solo: v.Solo}
+	ev := quarantine.AttemptEnded{Fingerprint: q.fingerprint, Leaf: f.view.Leaves[v.Leaf].ID, Crashed: v.Crashed, Solo: v.Solo}
 	f.tell(q.entry, f.entries[q.entry].Handle(ev, f.now))
 }
 
@@ -164,14 +164,14 @@
 			for to := 0; f.push && to < entries; to++ {
 				f.messages = append(f.messages, message{to, f.now.Add(2 * time.Millisecond), act.Record})
 			}
-		case quarantine.Changed:
+		case quarantine.PhaseChanged:
 			f.changed(entry, act)
 		}
 	}
 }
 
 // changed tells the entry's running queries of a fingerprint.
-func (f *fleet) changed(entry int, c quarantine.Changed) {
+func (f *fleet) changed(entry int, c quarantine.PhaseChanged) {
 	for _, q := range f.queries {
 		if q.entry != entry || q.fingerprint != c.Fingerprint || q.answer != nil {
 			continue
@@ -180,7 +180,7 @@
 		case quarantine.PhaseClear:
 			f.handle(q, query.Cleared{})
 		case quarantine.PhaseQuarantined:
-			f.handle(q, query.Condemned{RetryAfter: c.Left})
+			f.handle(q, query.Condemned{RetryAfter: c.Remaining})
 		}
 	}
 }
@@ -195,7 +195,7 @@
 			f.messages = append(f.messages, m)
 			continue
 		}
-		f.tell(m.to, f.entries[m.to].Handle(quarantine.Merged{Records: []quarantine.Record{m.record}}, f.now))
+		f.tell(m.to, f.entries[m.to].Handle(quarantine.RecordsReceived{Records: []quarantine.Record{m.record}}, f.now))
 	}
 	for _, q := range f.queries {
 		if q.answer == nil {
@@ -232,7 +232,7 @@
 func (f *fleet) gossip() {
 	for i := range f.entries {
 		for j := range f.entries {
-			f.entries[j].Handle(quarantine.Merged{Records: f.entries[i].Digest(f.now)}, f.now)
+			f.entries[j].Handle(quarantine.RecordsReceived{Records: f.entries[i].Digest(f.now)}, f.now)
 		}
 	}
 }
--- a/kernel/quarantine/machine.go
+++ b/kernel/quarantine/machine.go
@@ -16,7 +16,7 @@
 
 // New returns a machine that knows no fingerprint.
 func New(cfg Config) *Machine {
-	return &Machine{cfg: cfg, records: make(map[string]Record), good: goodSet{limit: max(cfg.MaxGood, 1)}}
+	return &Machine{cfg: cfg, records: make(map[string]Record), good: goodSet{limit: max(cfg.MaxKnownGood, 1)}}
 }
 
 // Admit decides how a request may run that asks the given number of shards.
@@ -28,7 +28,7 @@
 	r, ok := m.live(fingerprint, now)
 	switch {
 	case ok && r.Phase() == PhaseQuarantined:
-		return Decision{Mode: ModeRefuse, RetryAfter: r.Until.Sub(now)}
+		return Decision{Mode: ModeRefuse, RetryAfter: r.ExpiresAt.Sub(now)}
 	case ok && r.Phase() == PhaseSuspect:
 		return Decision{Mode: ModeSuspect}
 	case ok || m.good.has(fingerprint) || canaryAbove <= 0 || shards <= canaryAbove:
@@ -43,15 +43,15 @@
 func (m *Machine) Handle(ev Event, now time.Time) []Action {
 	m.out = m.out[:0]
 	switch ev := ev.(type) {
-	case Observed:
+	case AttemptEnded:
 		m.observed(ev, now)
-	case Merged:
+	case RecordsReceived:
 		for _, r := range ev.Records {
 			m.merge(r, now)
 		}
 	case Lifted:
 		if r, ok := m.live(ev.Fingerprint, now); ok && r.Phase() != PhaseClear {
-			m.change(r, PhaseClear, m.cfg.SuspectFor, now)
+			m.change(r, PhaseClear, m.cfg.SuspectDuration, now)
 		}
 	case Tick:
 		for fingerprint := range m.records {
@@ -65,12 +65,12 @@
 // suspect behind; any other record that has passed is forgotten.
 func (m *Machine) live(fingerprint string, now time.Time) (Record, bool) {
 	r, ok := m.records[fingerprint]
-	if !ok || now.Before(r.Until) {
+	if !ok || now.Before(r.ExpiresAt) {
 		return r, ok
 	}
 	if r.Phase() == PhaseQuarantined {
 		r.Level = r.next(PhaseSuspect)
-		r.Until = r.Until.Add(m.cfg.SuspectFor)
+		r.ExpiresAt = r.ExpiresAt.Add(m.cfg.SuspectDuration)
 		m.records[fingerprint] = r
 		return m.live(fingerprint, now)
 	}
@@ -79,41 +79,41 @@
 }
 
 // observed learns from the end of an attempt.
-func (m *Machine) observed(ev Observed, now time.Time) {
+func (m *Machine) observed(ev AttemptEnded, now time.Time) {
 	r, ok := m.live(ev.Fingerprint, now)
 	r.Fingerprint = ev.Fingerprint
 	if !ev.Crashed {
 		m.good.add(ev.Fingerprint)
 		if ok && r.Phase() != PhaseClear {
-			m.change(r, PhaseClear, m.cfg.SuspectFor, now)
+			m.change(r, PhaseClear, m.cfg.SuspectDuration, now)
 		}
 		return
 	}
 	m.good.remove(ev.Fingerprint)
 	switch {
 	case r.Phase() == PhaseClear:
-		m.change(r, PhaseSuspect, m.cfg.SuspectFor, now)
+		m.change(r, PhaseSuspect, m.cfg.SuspectDuration, now)
 	case r.Phase() == PhaseSuspect && ev.Solo:
-		m.change(r, PhaseQuarantined, m.cfg.QuarantineFor, now)
+		m.change(r, PhaseQuarantined, m.cfg.QuarantineDuration, now)
 	}
 }
 
 // change moves a record on to a phase and tells of it.
 func (m *Machine) change(r Record, p Phase, lasts time.Duration, now time.Time) {
 	r.Level = r.next(p)
-	r.Until = now.Add(lasts)
+	r.ExpiresAt = now.Add(lasts)
 	m.put(r)
-	m.out = append(m.out, Announce{Record: r}, Changed{Fingerprint: r.Fingerprint, Phase: p, Left: lasts})
+	m.out = append(m.out, Announce{Record: r}, PhaseChanged{Fingerprint: r.Fingerprint, Phase: p, Remaining: lasts})
 }
 
 // merge takes in a peer's record.
 func (m *Machine) merge(r Record, now time.Time) {
-	if r.Level <= 0 || r.Level > maxLevel || !now.Before(r.Until) {
+	if r.Level <= 0 || r.Level > maxLevel || !now.Before(r.ExpiresAt) {
 		return
 	}
-	r.Until = earliest(r.Until, now.Add(max(m.cfg.QuarantineFor, m.cfg.SuspectFor)))
+	r.ExpiresAt = earliest(r.ExpiresAt, now.Add(max(m.cfg.QuarantineDuration, m.cfg.SuspectDuration)))
 	old, _ := m.live(r.Fingerprint, now)
-	if r.Level < old.Level || (r.Level == old.Level && !r.Until.After(old.Until)) {
+	if r.Level < old.Level || (r.Level == old.Level && !r.ExpiresAt.After(old.ExpiresAt)) {
 		return
 	}
 	m.put(r)
@@ -121,7 +121,7 @@
 		// A record is passed on at once, and each entry does so once per level, so
 		// that it reaches all in a number of steps that grows with the logarithm
 		// of the fleet.
-		m.out = append(m.out, Announce{Record: r}, Changed{Fingerprint: r.Fingerprint, Phase: r.Phase(), Left: r.Until.Sub(now)})
+		m.out = append(m.out, Announce{Record: r}, PhaseChanged{Fingerprint: r.Fingerprint, Phase: r.Phase(), Remaining: r.ExpiresAt.Sub(now)})
 	}
 }
 
@@ -158,7 +158,7 @@
 func byImportance(a, b Record) int {
 	return cmp.Or(
 		cmp.Compare(b.Phase(), a.Phase()),
-		b.Until.Compare(a.Until),
+		b.ExpiresAt.Compare(a.ExpiresAt),
 		cmp.Compare(a.Fingerprint, b.Fingerprint),
 	)
 }
@@ -166,7 +166,7 @@
 // Digest returns the most important records to tell a peer.
 func (m *Machine) Digest(now time.Time) []Record {
 	out := m.Records(now)
-	return out[:min(len(out), m.cfg.DigestRecords)]
+	return out[:min(len(out), m.cfg.MaxDigestRecords)]
 }
 
 // Records lists all records in force, the most important first.
--- a/kernel/quarantine/machine_test.go
+++ b/kernel/quarantine/machine_test.go
@@ -27,7 +27,7 @@
 
 var (
 	epoch = time.Date(2030, 1, 1, 9, 0, 0, 0, time.UTC)
-	cfg   = quarantine.Config{QuarantineFor: time.Minute, SuspectFor: 5 * time.Minute, MaxRecords: 64, MaxGood: 64, DigestRecords: 16}
+	cfg   = quarantine.Config{QuarantineDuration: time.Minute, SuspectDuration: 5 * time.Minute, MaxRecords: 64, MaxKnownGood: 64, MaxDigestRecords: 16}
 )
 
 const (
@@ -36,11 +36,11 @@
 	above  = 4
 )
 
-func crash(solo bool) quarantine.Observed {
-	return quarantine.Observed{Fingerprint: fp, Leaf: "l", Crashed: true, Solo: solo}
+func crash(solo bool) quarantine.AttemptEnded {
+	return quarantine.AttemptEnded{Fingerprint: fp, Leaf: "l", Crashed: true, Solo: solo}
 }
 
-func success() quarantine.Observed { return quarantine.Observed{Fingerprint: fp, Leaf: "l"} }
+func success() quarantine.AttemptEnded { return quarantine.AttemptEnded{Fingerprint: fp, Leaf: "l"} }
 
 // wantMode fails unless the fingerprint would run in a mode.
 func wantMode(t *testing.T, m *quarantine.Machine, now time.Time, want quarantine.Mode) quarantine.Decision {
@@ -76,17 +76,17 @@
 	if d := wantMode(t, m, now, quarantine.ModeRefuse); d.RetryAfter != 40*time.Second {
 		t.Fatalf("retry after %v", d.RetryAfter)
 	}
-	now = epoch.Add(cfg.QuarantineFor)
+	now = epoch.Add(cfg.QuarantineDuration)
 	wantMode(t, m, now, quarantine.ModeSuspect)
 	m.Handle(crash(true), now)
 	wantMode(t, m, now, quarantine.ModeRefuse)
-	wantMode(t, m, now.Add(cfg.QuarantineFor+cfg.SuspectFor), quarantine.ModeCanary)
+	wantMode(t, m, now.Add(cfg.QuarantineDuration+cfg.SuspectDuration), quarantine.ModeCanary)
 }
 
 func TestSuccessClearsANeighbour(t *testing.T) {
 	here, there := quarantine.New(cfg), quarantine.New(cfg)
 	here.Handle(crash(false), epoch)
-	there.Handle(quarantine.Merged{Records: here.Digest(epoch)}, epoch)
+	there.Handle(quarantine.RecordsReceived{Records: here.Digest(epoch)}, epoch)
 	wantMode(t, there, epoch, quarantine.ModeSuspect)
 	actions := here.Handle(success(), epoch)
 	if len(actions) != 2 {
@@ -94,13 +94,13 @@
 	}
 	announced := actions[0].(quarantine.Announce).Record
 	wantMode(t, here, epoch, quarantine.ModeRun)
-	here.Handle(quarantine.Merged{Records: there.Digest(epoch)}, epoch)
+	here.Handle(quarantine.RecordsReceived{Records: there.Digest(epoch)}, epoch)
 	wantMode(t, here, epoch, quarantine.ModeRun)
-	changed := there.Handle(quarantine.Merged{Records: []quarantine.Record{announced}}, epoch)
-	if len(changed) != 2 || changed[0].(quarantine.Announce).Record != announced || changed[1].(quarantine.Changed).Phase != quarantine.PhaseClear {
+	changed := there.Handle(quarantine.RecordsReceived{Records: []quarantine.Record{announced}}, epoch)
+	if len(changed) != 2 || changed[0].(quarantine.Announce).Record != announced || changed[1].(quarantine.PhaseChanged).Phase != quarantine.PhaseClear {
 		t.Fatalf("actions %v", changed)
 	}
-	if again := there.Handle(quarantine.Merged{Records: []quarantine.Record{announced}}, epoch); len(again) != 0 {
+	if again := there.Handle(quarantine.RecordsReceived{Records: []quarantine.Record{announced}}, epoch); len(again) != 0 {
 		t.Fatalf("old news is passed on: %v", again)
 	}
 	wantMode(t, there, epoch, quarantine.ModeRun)
@@ -110,15 +110,15 @@
 	here, there := quarantine.New(cfg), quarantine.New(cfg)
 	here.Handle(crash(false), epoch)
 	here.Handle(crash(true), epoch)
-	there.Handle(quarantine.Merged{Records: here.Digest(epoch)}, epoch)
+	there.Handle(quarantine.RecordsReceived{Records: here.Digest(epoch)}, epoch)
 	here.Handle(quarantine.Lifted{Fingerprint: fp}, epoch)
-	here.Handle(quarantine.Merged{Records: there.Digest(epoch)}, epoch)
+	here.Handle(quarantine.RecordsReceived{Records: there.Digest(epoch)}, epoch)
 	wantMode(t, here, epoch, quarantine.ModeRun)
 }
 
 func TestExpiredRecordsAreNotMerged(t *testing.T) {
 	m := quarantine.New(cfg)
-	m.Handle(quarantine.Merged{Records: []quarantine.Record{{Fingerprint: fp, Level: 2, Until: epoch}, {Fingerprint: fp, Until: epoch.Add(time.Hour)}}}, epoch)
+	m.Handle(quarantine.RecordsReceived{Records: []quarantine.Record{{Fingerprint: fp, Level: 2, ExpiresAt: epoch}, {Fingerprint: fp, ExpiresAt: epoch.Add(time.Hour)}}}, epoch)
 	wantMode(t, m, epoch, quarantine.ModeCanary)
 }
 
@@ -129,17 +129,17 @@
 			return quarantine.Record{
 				Fingerprint: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "fp"),
 				Level:       rapid.IntRange(1, 7).Draw(t, "level"),
-				Until:       epoch.Add(time.Duration(rapid.IntRange(1, 5).Draw(t, "until")) * time.Second),
+				ExpiresAt:   epoch.Add(time.Duration(rapid.IntRange(1, 5).Draw(t, "until")) * time.Second),
 			}
 		}), 1, 10).Draw(t, "records")
 		one, other := quarantine.New(cfg), quarantine.New(cfg)
-		one.Handle(quarantine.Merged{Records: records}, epoch)
+		one.Handle(quarantine.RecordsReceived{Records: records}, epoch)
 		for _, r := range rapid.Permutation(records).Draw(t, "order") {
 			via := quarantine.New(cfg)
-			via.Handle(quarantine.Merged{Records: []quarantine.Record{r}}, epoch)
-			other.Handle(quarantine.Merged{Records: via.Digest(epoch)}, epoch)
-			via.Handle(quarantine.Merged{Records: other.Digest(epoch)}, epoch)
-			other.Handle(quarantine.Merged{Records: via.Digest(epoch)}, epoch)
+			via.Handle(quarantine.RecordsReceived{Records: []quarantine.Record{r}}, epoch)
+			other.Handle(quarantine.RecordsReceived{Records: via.Digest(epoch)}, epoch)
+			via.Handle(quarantine.RecordsReceived{Records: other.Digest(epoch)}, epoch)
+			other.Handle(quarantine.RecordsReceived{Records: via.Digest(epoch)}, epoch)
 		}
 		if a, b := one.Records(epoch), other.Records(epoch); !slices.Equal(a, b) {
 			t.Fatalf("%v and %v", a, b)
@@ -149,13 +149,13 @@
 
 func TestBounds(t *testing.T) {
 	small := cfg
-	small.MaxRecords, small.DigestRecords, small.MaxGood = 3, 2, 4
+	small.MaxRecords, small.MaxDigestRecords, small.MaxKnownGood = 3, 2, 4
 	m := quarantine.New(small)
 	name := func(i int) string { return string(rune('a' + i)) }
 	for i := range 10 {
-		m.Handle(quarantine.Observed{Fingerprint: name(i), Crashed: true}, epoch.Add(time.Duration(i)))
+		m.Handle(quarantine.AttemptEnded{Fingerprint: name(i), Crashed: true}, epoch.Add(time.Duration(i)))
 		if i == 0 {
-			m.Handle(quarantine.Observed{Fingerprint: name(i), Crashed: true, Solo: true}, epoch)
+			m.Handle(quarantine.AttemptEnded{Fingerprint: name(i), Crashed: true, Solo: true}, epoch)
 		}
 	}
 	records := m.Records(epoch)
@@ -167,7 +167,7 @@
 	}
 	m = quarantine.New(small)
 	for i := range 10 {
-		m.Handle(quarantine.Observed{Fingerprint: name(i)}, epoch)
+		m.Handle(quarantine.AttemptEnded{Fingerprint: name(i)}, epoch)
 	}
 	good := 0
 	for i := range 10 {
@@ -184,13 +184,13 @@
 func TestAFaultyPeerIsBounded(t *testing.T) {
 	m := quarantine.New(cfg)
 	far := epoch.Add(200 * 365 * 24 * time.Hour)
-	m.Handle(quarantine.Merged{Records: []quarantine.Record{{Fingerprint: fp, Level: math.MaxInt - 1, Until: far}}}, epoch)
+	m.Handle(quarantine.RecordsReceived{Records: []quarantine.Record{{Fingerprint: fp, Level: math.MaxInt - 1, ExpiresAt: far}}}, epoch)
 	if got := m.Records(epoch); len(got) != 0 {
 		t.Errorf("a level beyond reason was taken: %v", got)
 	}
-	m.Handle(quarantine.Merged{Records: []quarantine.Record{{Fingerprint: fp, Level: 2, Until: far}}}, epoch)
+	m.Handle(quarantine.RecordsReceived{Records: []quarantine.Record{{Fingerprint: fp, Level: 2, ExpiresAt: far}}}, epoch)
 	wantMode(t, m, epoch, quarantine.ModeRefuse)
-	if got := m.Records(epoch); len(got) != 1 || got[0].Until.After(epoch.Add(cfg.QuarantineFor+cfg.SuspectFor)) {
+	if got := m.Records(epoch); len(got) != 1 || got[0].ExpiresAt.After(epoch.Add(cfg.QuarantineDuration+cfg.SuspectDuration)) {
 		t.Errorf("a peer's record lasts until %v", got)
 	}
 }
--- a/kernel/quarantine/quarantine.go
+++ b/kernel/quarantine/quarantine.go
@@ -7,17 +7,17 @@
 
 // Config sets the times and bounds of a machine.
 type Config struct {
-	// QuarantineFor is how long a fingerprint with two breaks is refused. After
+	// QuarantineDuration is how long a fingerprint with two breaks is refused. After
 	// that it is a suspect again, so that a resend breaks one leaf at most.
-	QuarantineFor time.Duration
-	// SuspectFor is how long one break, or its clearing, is remembered.
-	SuspectFor time.Duration
+	QuarantineDuration time.Duration
+	// SuspectDuration is how long one break, or its clearing, is remembered.
+	SuspectDuration time.Duration
 	// MaxRecords bounds the suspects and quarantined fingerprints kept.
 	MaxRecords int
-	// MaxGood bounds the known-good fingerprints kept.
-	MaxGood int
-	// DigestRecords bounds the records sent to a peer.
-	DigestRecords int
+	// MaxKnownGood bounds the known-good fingerprints kept.
+	MaxKnownGood int
+	// MaxDigestRecords bounds the records sent to a peer.
+	MaxDigestRecords int
 }
 
 // Record is the state of a fingerprint. Records merge by the greater Level
@@ -26,8 +26,8 @@
 type Record struct {
 	Fingerprint string
 	// Level grows with each change, and its remainder by 3 is the Phase.
-	Level int
-	Until time.Time
+	Level     int
+	ExpiresAt time.Time
 }
 
 // Phase is what a record says of its fingerprint.
@@ -52,16 +52,16 @@
 // Event is an input of the machine.
 type Event interface{ isEvent() }
 
-// Observed is how an attempt ended on a leaf.
-type Observed struct {
+// AttemptEnded is how an attempt ended on a leaf.
+type AttemptEnded struct {
 	Fingerprint string
 	Leaf        string
 	Crashed     bool // false: it ran to its end
 	Solo        bool // it ran alone: a canary or a suspect
 }
 
-// Merged brings a peer's records.
-type Merged struct{ Records []Record }
+// RecordsReceived brings a peer's records.
+type RecordsReceived struct{ Records []Record }
 
 // Lifted is an operator's word that a fingerprint may run again.
 type Lifted struct{ Fingerprint string }
@@ -69,10 +69,10 @@
 // Tick lets records expire.
 type Tick struct{}
 
-func (Observed) isEvent() {}
-func (Merged) isEvent()   {}
-func (Lifted) isEvent()   {}
-func (Tick) isEvent()     {}
+func (AttemptEnded) isEvent()    {}
+func (RecordsReceived) isEvent() {}
+func (Lifted) isEvent()          {}
+func (Tick) isEvent()            {}
 
 // Action is an output of the machine.
 type Action interface{ isAction() }
@@ -80,16 +80,16 @@
 // Announce asks to tell the peers of a record at once, ahead of the next digest.
 type Announce struct{ Record Record }
 
-// Changed tells the running queries of a fingerprint of its new phase: Cleared
+// PhaseChanged tells the running queries of a fingerprint of its new phase: Cleared
 // and Condemned of the query package, the latter with Left as its RetryAfter.
-type Changed struct {
+type PhaseChanged struct {
 	Fingerprint string
 	Phase       Phase
-	Left        time.Duration
+	Remaining   time.Duration
 }
 
-func (Announce) isAction() {}
-func (Changed) isAction()  {}
+func (Announce) isAction()     {}
+func (PhaseChanged) isAction() {}
 
 // Mode is how a request may run.
 type Mode int
--- a/kernel/quarantine/strikes.go
+++ b/kernel/quarantine/strikes.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// Strikes counts the leaves that were lost under a request. Where connections end
+// LossCounter counts the leaves that were lost under a request. Where connections end
 // for many reasons one end proves nothing, and a request is suspected only when
 // several leaves were lost under it and none ran it to its end.
-type Strikes struct {
-	// For is how long a loss counts.
-	For time.Duration
-	// Most bounds the requests that are remembered.
-	Most int
+type LossCounter struct {
+	// Window is how long a loss counts.
+	Window time.Duration
+	// MaxRequests bounds the requests that are remembered.
+	MaxRequests int
 
 	byRequest map[string]*strikes
 }
 
-// Life is the time of a leaf between two losses of it: one that serves again after it was
+// Incarnation is the time of a leaf between two losses of it: one that serves again after it was
 // lost and is lost once more counts twice, as a service may have few leaves.
-type Life struct {
+type Incarnation struct {
 	Leaf string
 	// Number grows with each time that the leaf serves again.
 	Number int
@@ -24,19 +24,19 @@
 
 // strikes are the losses of one request.
 type strikes struct {
-	lost  map[Life]bool
+	lost  map[Incarnation]bool
 	until time.Time
 }
 
-// Lost notes that a leaf was lost under a request, and reports whether so many
+// RecordLoss notes that a leaf was lost under a request, and reports whether so many
 // lives were that it is suspected. It then counts from anew.
-func (s *Strikes) Lost(fingerprint string, leaf Life, enough int, now time.Time) bool {
+func (s *LossCounter) RecordLoss(fingerprint string, leaf Incarnation, enough int, now time.Time) bool {
 	r := s.byRequest[fingerprint]
 	if r == nil || !now.Before(r.until) {
-		r = &strikes{lost: make(map[Life]bool)}
+		r = &strikes{lost: make(map[Incarnation]bool)}
 		s.keep(fingerprint, r, now)
 	}
-	r.until = now.Add(s.For)
+	r.until = now.Add(s.Window)
 	r.lost[leaf] = true
 	if len(r.lost) < enough {
 		return false
@@ -45,26 +45,26 @@
 	return true
 }
 
-// Ran notes that a leaf ran a request to its end: it breaks none.
-func (s *Strikes) Ran(fingerprint string) { delete(s.byRequest, fingerprint) }
+// RecordSuccess notes that a leaf ran a request to its end: it breaks none.
+func (s *LossCounter) RecordSuccess(fingerprint string) { delete(s.byRequest, fingerprint) }
 
 // Empty reports whether no losses are remembered.
-func (s *Strikes) Empty() bool { return len(s.byRequest) == 0 }
+func (s *LossCounter) Empty() bool { return len(s.byRequest) == 0 }
 
 // keep remembers a request's losses. Above the bound those that are over go, or
 // else the ones that would be over first.
-func (s *Strikes) keep(fingerprint string, r *strikes, now time.Time) {
+func (s *LossCounter) keep(fingerprint string, r *strikes, now time.Time) {
 	if s.byRequest == nil {
 		s.byRequest = make(map[string]*strikes)
 	}
-	if len(s.byRequest) >= max(s.Most, 1) {
+	if len(s.byRequest) >= max(s.MaxRequests, 1) {
 		s.drop(now)
 	}
 	s.byRequest[fingerprint] = r
 }
 
 // drop makes room for one more.
-func (s *Strikes) drop(now time.Time) {
+func (s *LossCounter) drop(now time.Time) {
 	first, until := "", time.Time{}
 	for fingerprint, r := range s.byRequest {
 		if !now.Before(r.until) {
@@ -75,7 +75,7 @@
 			first, until = fingerprint, r.until
 		}
 	}
-	if len(s.byRequest) >= max(s.Most, 1) {
+	if len(s.byRequest) >= max(s.MaxRequests, 1) {
 		delete(s.byRequest, first)
 	}
 }
--- a/kernel/quarantine/strikes_test.go
+++ b/kernel/quarantine/strikes_test.go
@@ -29,13 +29,13 @@
 		{"long ago", []step{{leaf: "a"}, {leaf: "b"}, {leaf: "c", at: lasts}}},
 		{"counted from anew", []step{{leaf: "a"}, {leaf: "b"}, {leaf: "c", want: true}, {leaf: "a"}}},
 	} {
-		s := quarantine.Strikes{For: lasts, Most: 8}
+		s := quarantine.LossCounter{Window: lasts, MaxRequests: 8}
 		for i, st := range tc.steps {
 			if st.leaf == "" {
-				s.Ran(fp)
+				s.RecordSuccess(fp)
 				continue
 			}
-			if got := s.Lost(fp, quarantine.Life{Leaf: st.leaf, Number: st.life}, enough, epoch.Add(st.at)); got != st.want {
+			if got := s.RecordLoss(fp, quarantine.Incarnation{Leaf: st.leaf, Number: st.life}, enough, epoch.Add(st.at)); got != st.want {
 				t.Errorf("%s, step %d: suspected %v, want %v", tc.name, i, got, st.want)
 			}
 		}
@@ -44,14 +44,14 @@
 
 // TestStrikesAreBounded sends losses of many requests.
 func TestStrikesAreBounded(t *testing.T) {
-	s := quarantine.Strikes{For: time.Minute, Most: 4}
+	s := quarantine.LossCounter{Window: time.Minute, MaxRequests: 4}
 	for i := range 100 {
-		s.Lost(fmt.Sprint("request-", i), quarantine.Life{Leaf: "a"}, 2, epoch.Add(time.Duration(i)*time.Second))
+		s.RecordLoss(fmt.Sprint("request-", i), quarantine.Incarnation{Leaf: "a"}, 2, epoch.Add(time.Duration(i)*time.Second))
 	}
-	if !s.Lost("request-99", quarantine.Life{Leaf: "b"}, 2, epoch.Add(100*time.Second)) {
+	if !s.RecordLoss("request-99", quarantine.Incarnation{Leaf: "b"}, 2, epoch.Add(100*time.Second)) {
 		t.Error("the latest request was forgotten")
 	}
-	if s.Lost("request-10", quarantine.Life{Leaf: "b"}, 2, epoch.Add(100*time.Second)) {
+	if s.RecordLoss("request-10", quarantine.Incarnation{Leaf: "b"}, 2, epoch.Add(100*time.Second)) {
 		t.Error("an early request is still remembered beyond the bound")
 	}
 }
--- a/kernel/slowness/detector.go
+++ b/kernel/slowness/detector.go
@@ -13,18 +13,18 @@
 // Observation is one outcome at a leaf.
 type Observation struct {
 	Leaf string
-	// Took is how long the attempt took, or was out before it was given up.
-	Took time.Duration
+	// Elapsed is how long the attempt took, or was out before it was given up.
+	Elapsed time.Duration
 	// Slow says that this was far more than usual; else it clears the leaf.
 	Slow bool
 	At   time.Time
 }
 
-// Slow is a leaf that is taken to be slow.
-type Slow struct {
+// SlowLeaf is a leaf that is taken to be slow.
+type SlowLeaf struct {
 	Leaf string
-	// Took is the longest that was seen lately.
-	Took time.Duration
+	// Elapsed is the longest that was seen lately.
+	Elapsed time.Duration
 	// At is when it was last seen to be slow.
 	At time.Time
 }
@@ -73,12 +73,12 @@
 		}
 	case e == nil:
 		if len(b.leaves) < mostLeaves {
-			b.leaves[s.Leaf] = &entry{first: s.At, last: s.At, took: s.Took}
+			b.leaves[s.Leaf] = &entry{first: s.At, last: s.At, took: s.Elapsed}
 		}
 	case s.At.Sub(e.last) >= remember:
-		*e = entry{first: s.At, last: s.At, took: s.Took}
+		*e = entry{first: s.At, last: s.At, took: s.Elapsed}
 	default:
-		e.took = max(e.took, s.Took)
+		e.took = max(e.took, s.Elapsed)
 		if s.At.Before(e.first) {
 			e.first = s.At
 		}
@@ -88,19 +88,19 @@
 	}
 }
 
-// Slow lists the leaves that are taken to be slow now, in the order of their
+// SlowLeaves lists the leaves that are taken to be slow now, in the order of their
 // names, and forgets what no longer counts.
-func (b *Detector) Slow(now time.Time) []Slow {
-	var out []Slow
+func (b *Detector) SlowLeaves(now time.Time) []SlowLeaf {
+	var out []SlowLeaf
 	for leaf, e := range b.leaves {
 		if now.Sub(e.last) >= remember {
 			delete(b.leaves, leaf)
 			continue
 		}
 		if e.last.Sub(e.first) >= pause {
-			out = append(out, Slow{Leaf: leaf, Took: e.took, At: e.last})
+			out = append(out, SlowLeaf{Leaf: leaf, Elapsed: e.took, At: e.last})
 		}
 	}
-	slices.SortFunc(out, func(a, b Slow) int { return cmp.Compare(a.Leaf, b.Leaf) })
+	slices.SortFunc(out, func(a, b SlowLeaf) int { return cmp.Compare(a.Leaf, b.Leaf) })
 	return out
 }
--- a/kernel/slowness/detector_test.go
+++ b/kernel/slowness/detector_test.go
@@ -13,9 +13,9 @@
 // TestSlowOrPaused tells a slow leaf from one that pauses for a moment.
 func TestSlowOrPaused(t *testing.T) {
 	slow := func(ms int) Observation {
-		return Observation{Leaf: "x", Took: 90 * time.Millisecond, Slow: true, At: at(ms)}
+		return Observation{Leaf: "x", Elapsed: 90 * time.Millisecond, Slow: true, At: at(ms)}
 	}
-	well := func(ms int) Observation { return Observation{Leaf: "x", Took: 10 * time.Millisecond, At: at(ms)} }
+	well := func(ms int) Observation { return Observation{Leaf: "x", Elapsed: 10 * time.Millisecond, At: at(ms)} }
 	for _, tc := range []struct {
 		name string
 		seen []Observation
@@ -36,7 +36,7 @@
 		for _, s := range tc.seen {
 			b.Add([]Observation{s}, s.At)
 		}
-		if got := len(b.Slow(at(tc.now))) == 1; got != tc.want {
+		if got := len(b.SlowLeaves(at(tc.now))) == 1; got != tc.want {
 			t.Errorf("%s: slow %v, want %v", tc.name, got, tc.want)
 		}
 	}
