--- a/kernel/backoff/backoff.go
+++ b/kernel/backoff/backoff.go
@@ -1,4 +1,5 @@
-// Package backoff computes growing, capped and jittered delays between tries.
+// Package backoff computes exponential delays between retries, capped and with
+// jitter.
 package backoff
 
 import (
@@ -6,23 +7,23 @@
 	"time"
 )
 
-// Backoff gives the delays of one sequence of tries. It is a plain value
-// machine: the caller passes the random source and does the waiting.
+// Backoff computes the delays of one sequence of attempts. It reads no clock and
+// does not sleep: the caller passes the random source and waits.
 type Backoff struct {
-	// Min is the mean of the first delay, Max bounds every delay.
+	// Min is the lower bound of the first delay; Max is the upper bound of all.
 	Min, Max time.Duration
 	failures int
 }
 
-// Failures is the number of failed tries since the last Reset.
+// Failures returns the number of failed attempts since the last Reset.
 func (b *Backoff) Failures() int { return b.failures }
 
-// Reset begins a new sequence after a success.
+// Reset starts a new sequence after a success.
 func (b *Backoff) Reset() { b.failures = 0 }
 
-// Next counts a failed try and gives the delay before the next one: evenly
-// spread over (d/2, d], where d doubles from 2*Min up to Max. The spread keeps
-// instances that failed together from coming back together.
+// Next counts a failed attempt and returns the delay before the next one: uniform
+// in (d/2, d], where d doubles from 2*Min up to Max. The jitter keeps instances
+// that failed together from retrying together.
 func (b *Backoff) Next(rng *rand.Rand) time.Duration {
 	d := b.Max
 	if shift := b.failures + 1; shift < 32 && b.Min<<shift>>shift == b.Min {
--- a/kernel/backoff/backoff_test.go
+++ b/kernel/backoff/backoff_test.go
@@ -23,10 +23,11 @@
 	}
 }
 
-// Eight instances that failed at the same moment come back one by one.
-func TestRecoveriesAreSpread(t *testing.T) {
+// TestRetriesAreSpread checks that eight instances which failed at the same moment
+// retry at different times.
+func TestRetriesAreSpread(t *testing.T) {
 	const instances = 8
-	var at []time.Duration
+	var retryAt []time.Duration
 	for i := range uint64(instances) {
 		b := Backoff{Min: 50 * time.Millisecond, Max: 5 * time.Second}
 		rng := rand.New(rand.NewPCG(i, 9))
@@ -34,15 +35,15 @@
 		for range 8 {
 			sum += b.Next(rng)
 		}
-		at = append(at, sum)
+		retryAt = append(retryAt, sum)
 	}
-	slices.Sort(at)
-	if spread := at[instances-1] - at[0]; spread < time.Second {
-		t.Fatalf("eight tries lie within %v", spread)
+	slices.Sort(retryAt)
+	if spread := retryAt[instances-1] - retryAt[0]; spread < time.Second {
+		t.Fatalf("eight retries lie within %v", spread)
 	}
 	for i := 1; i < instances; i++ {
-		if at[i]-at[i-1] < 5*time.Millisecond {
-			t.Errorf("tries %d and %d are %v apart", i-1, i, at[i]-at[i-1])
+		if retryAt[i]-retryAt[i-1] < 5*time.Millisecond {
+			t.Errorf("retries %d and %d are %v apart", i-1, i, retryAt[i]-retryAt[i-1])
 		}
 	}
 }
--- a/kernel/margin/margin.go
+++ b/kernel/margin/margin.go
@@ -1,75 +1,79 @@
-// Package margin learns how long before its objective an answer must be settled
-// so that it reaches the caller in time. On an instance with a small share of a
-// core, merging and sending a large answer, and getting to it at all, takes a
-// good part of a short objective; so does the way to the caller and back.
+// Package margin estimates how long before its objective an answer must be
+// settled so that it reaches the caller in time. The margin covers the network
+// delay to the caller and back, and the instance's own delay: on a small share of
+// a core, scheduling the instance, merging the parts and sending a large answer
+// take a good part of a short objective.
 package margin
 
 import "time"
 
 const (
-	// InitialOwnDelay is assumed of an instance's own delay before anything is known.
+	// InitialOwnDelay is the assumed own delay of an instance that has measured none.
 	InitialOwnDelay = 4 * time.Millisecond
-	// DefaultNetworkDelay is assumed of the way from and to a caller whose connection does
-	// not tell its round trip: two of 6 ms, which a new connection takes, and 2 ms to
-	// be received on a small share of a core.
+	// DefaultNetworkDelay is assumed for a caller whose connection does not report
+	// its round trip: two round trips of 6 ms, as a new connection takes, and 2 ms
+	// until an instance on a small share of a core accepts the connection.
 	DefaultNetworkDelay = 14 * time.Millisecond
-	// unseen is kept for what an instance can't measure: until it is given the
-	// processor to read a request, and until the answer has left. Of 1106 queries of a
-	// calm day over 71 instances, most with a fifth of a core, 59 to 68 came late
-	// without it and 4 with it.
-	unseen = 4 * time.Millisecond
-	// meanGain and spreadGain weigh one delay, and spreads says how many times
-	// the mean deviation is added, as in the estimate of TCP's timeout (RFC
-	// 6298), with fewer deviations: a late answer is worth a tenth, but one that
-	// waits for a part less loses a hundredth.
-	meanGain   = 0.125
-	spreadGain = 0.25
-	spreads    = 2
-	// most bounds the margin as a share of the objective.
-	most = 0.5
+	// unmeasuredDelay covers the delays that an instance can't measure: until it is
+	// scheduled to read a request, and until the answer has left. Without it, 59 to
+	// 68 of 1106 queries missed the objective, and with it 4 (71 instances without
+	// overload, most of them on a fifth of a core).
+	unmeasuredDelay = 4 * time.Millisecond
+	// meanGain and deviationGain are the weights of one delay in the moving averages,
+	// as in the estimate of TCP's retransmission timeout (RFC 6298). deviationFactor
+	// is below the 4 of the RFC: a late answer still has a tenth of its value, and
+	// an answer that is settled early for lack of one part loses a hundredth.
+	meanGain        = 0.125
+	deviationGain   = 0.25
+	deviationFactor = 2
+	// maxShare bounds the margin as a share of the objective.
+	maxShare = 0.5
 )
 
-// DelayEstimator is what is known of one delay. It is used by one goroutine at a time.
+// DelayEstimator keeps a moving average of one delay and of its mean deviation. It
+// is not safe for concurrent use.
 type DelayEstimator struct {
-	known        bool
-	mean, spread float64 // seconds
+	known           bool    // a delay was observed
+	mean, deviation float64 // seconds
 }
 
-// Observe takes one delay.
+// Observe adds one measured delay.
 func (e *DelayEstimator) Observe(d time.Duration) {
 	x := max(d, 0).Seconds()
 	if !e.known {
-		e.known, e.mean, e.spread = true, x, x/2
+		e.known, e.mean, e.deviation = true, x, x/2
 		return
 	}
 	off := x - e.mean
 	e.mean += meanGain * off
-	e.spread += spreadGain * (max(off, -off) - e.spread)
+	e.deviation += deviationGain * (max(off, -off) - e.deviation)
 }
 
-// UpperBound is what most delays do not exceed, or first before any was seen.
-func (e *DelayEstimator) UpperBound(first time.Duration) time.Duration {
+// UpperBound returns a delay that most observations do not exceed, or initial
+// before the first observation.
+func (e *DelayEstimator) UpperBound(initial time.Duration) time.Duration {
 	if !e.known {
-		return first
+		return initial
 	}
-	return time.Duration((e.mean + spreads*e.spread) * float64(time.Second))
+	return time.Duration((e.mean + deviationFactor*e.deviation) * float64(time.Second))
 }
 
-// ForObjective is how long before the objective an answer is due, by the way from and to
-// the caller and the instance's own delay.
-func ForObjective(objective, way, own time.Duration) time.Duration {
-	return min(way+own, time.Duration(most*float64(objective)))
+// ForObjective returns how long before the objective an answer is due, given the
+// network delay and the instance's own delay.
+func ForObjective(objective, networkDelay, ownDelay time.Duration) time.Duration {
+	return min(networkDelay+ownDelay, time.Duration(maxShare*float64(objective)))
 }
 
-// NetworkDelay is the time that a request and its answer spend between caller and instance,
-// by the connection's round trip; 0: it is not known. A request that opened its
-// connection waited for that first, and for the instance to take it.
-func NetworkDelay(roundTrip time.Duration, opened bool, taken time.Duration) time.Duration {
+// NetworkDelay returns the time that a request and its answer spend between caller
+// and instance, from the round trip of the connection; a round trip of 0 is
+// unknown. A request that opened its connection has also waited for the handshake,
+// one more round trip, and for acceptDelay until the instance accepted it.
+func NetworkDelay(roundTrip time.Duration, newConnection bool, acceptDelay time.Duration) time.Duration {
 	if roundTrip <= 0 {
 		return DefaultNetworkDelay
 	}
-	if !opened {
-		return roundTrip + unseen
+	if !newConnection {
+		return roundTrip + unmeasuredDelay
 	}
-	return 2*roundTrip + taken + unseen
+	return 2*roundTrip + acceptDelay + unmeasuredDelay
 }
--- a/kernel/margin/margin_test.go
+++ b/kernel/margin/margin_test.go
@@ -6,37 +6,37 @@
 )
 
 const (
-	objective = 100 * time.Millisecond
-	way       = 8 * time.Millisecond
+	objective    = 100 * time.Millisecond
+	networkDelay = 8 * time.Millisecond
 )
 
-// TestMarginFollowsTheDelay checks instances of different speed.
-func TestMarginFollowsTheDelay(t *testing.T) {
+// TestMarginFollowsOwnDelay checks the margin of instances with different own delays.
+func TestMarginFollowsOwnDelay(t *testing.T) {
 	for _, tc := range []struct {
-		name         string
-		late         []time.Duration // in turn, again and again
-		least, mostB time.Duration
+		name     string
+		delays   []time.Duration // observed in turn, 50 times over
+		min, max time.Duration
 	}{
-		{"nothing known", nil, way, 20 * time.Millisecond},
-		{"fast", []time.Duration{500 * time.Microsecond}, way, 10 * time.Millisecond},
+		{"no observation", nil, networkDelay, 20 * time.Millisecond},
+		{"fast", []time.Duration{500 * time.Microsecond}, networkDelay, 10 * time.Millisecond},
 		{"slow", []time.Duration{15 * time.Millisecond}, 20 * time.Millisecond, 26 * time.Millisecond},
-		{"uneven", []time.Duration{2 * time.Millisecond, 20 * time.Millisecond}, 28 * time.Millisecond, 42 * time.Millisecond},
-		{"hopeless", []time.Duration{200 * time.Millisecond}, 50 * time.Millisecond, 50 * time.Millisecond},
+		{"varying", []time.Duration{2 * time.Millisecond, 20 * time.Millisecond}, 28 * time.Millisecond, 42 * time.Millisecond},
+		{"longer than the objective", []time.Duration{200 * time.Millisecond}, 50 * time.Millisecond, 50 * time.Millisecond},
 	} {
 		var e DelayEstimator
 		for range 50 {
-			for _, d := range tc.late {
+			for _, d := range tc.delays {
 				e.Observe(d)
 			}
 		}
-		if got := ForObjective(objective, way, e.UpperBound(InitialOwnDelay)); got < tc.least || got > tc.mostB {
-			t.Errorf("%s: due %v before the objective, want %v to %v", tc.name, got, tc.least, tc.mostB)
+		if got := ForObjective(objective, networkDelay, e.UpperBound(InitialOwnDelay)); got < tc.min || got > tc.max {
+			t.Errorf("%s: due %v before the objective, want %v to %v", tc.name, got, tc.min, tc.max)
 		}
 	}
 }
 
-// TestMarginRecovers lets an instance that was slow become fast.
-func TestMarginRecovers(t *testing.T) {
+// TestMarginFallsWhenDelaysFall observes long delays and then short ones.
+func TestMarginFallsWhenDelaysFall(t *testing.T) {
 	var e DelayEstimator
 	for range 20 {
 		e.Observe(40 * time.Millisecond)
@@ -44,25 +44,25 @@
 	for range 60 {
 		e.Observe(time.Millisecond)
 	}
-	if got := ForObjective(objective, way, e.UpperBound(InitialOwnDelay)); got > 12*time.Millisecond {
-		t.Errorf("due %v before the objective after it has become fast again", got)
+	if got := ForObjective(objective, networkDelay, e.UpperBound(InitialOwnDelay)); got > 12*time.Millisecond {
+		t.Errorf("due %v before the objective after the delays have fallen", got)
 	}
 }
 
-// TestWay checks what connections tell of the way to a caller.
-func TestWay(t *testing.T) {
+// TestNetworkDelay checks connections with and without a known round trip.
+func TestNetworkDelay(t *testing.T) {
 	for _, tc := range []struct {
-		name      string
-		roundTrip time.Duration
-		opened    bool
-		taken     time.Duration
-		want      time.Duration
+		name          string
+		roundTrip     time.Duration
+		newConnection bool
+		acceptDelay   time.Duration
+		want          time.Duration
 	}{
-		{"not known", 0, true, time.Millisecond, DefaultNetworkDelay},
-		{"kept", 6 * time.Millisecond, false, time.Millisecond, 6*time.Millisecond + unseen},
-		{"new", 6 * time.Millisecond, true, 3 * time.Millisecond, 15*time.Millisecond + unseen},
+		{"unknown round trip", 0, true, time.Millisecond, DefaultNetworkDelay},
+		{"kept-alive connection", 6 * time.Millisecond, false, time.Millisecond, 6*time.Millisecond + unmeasuredDelay},
+		{"new connection", 6 * time.Millisecond, true, 3 * time.Millisecond, 15*time.Millisecond + unmeasuredDelay},
 	} {
-		if got := NetworkDelay(tc.roundTrip, tc.opened, tc.taken); got != tc.want {
+		if got := NetworkDelay(tc.roundTrip, tc.newConnection, tc.acceptDelay); got != tc.want {
 			t.Errorf("%s: %v, want %v", tc.name, got, tc.want)
 		}
 	}
--- a/kernel/quarantine/fleet_test.go
+++ b/kernel/quarantine/fleet_test.go
@@ -16,56 +16,56 @@
 )
 
 const (
-	poison  = "poison"
-	entries = 8
-	runTime = 10 * time.Millisecond // of a sub-request
+	poison      = "poison" // fingerprint of the request that crashes every leaf
+	entries     = 8
+	serviceTime = 10 * time.Millisecond // of an attempt
 )
 
-// noBudget refuses all repetition that costs.
-type noBudget struct{}
+// noRepetition is a budget that allows neither hedges nor retries.
+type noRepetition struct{}
 
-func (noBudget) TakeHedge(time.Time) bool { return false }
-func (noBudget) TakeRetry(time.Time) bool { return false }
+func (noRepetition) TakeHedge(time.Time) bool { return false }
+func (noRepetition) TakeRetry(time.Time) bool { return false }
 
-// job is a sub-request in a leaf's slot.
-type job struct {
-	q       *running
+// occupant is an attempt in a slot of a leaf.
+type occupant struct {
+	q       *entryQuery
 	attempt query.AttemptID
 	solo    bool
 	done    time.Time
 }
 
-// running is a query at an entry.
-type running struct {
+// entryQuery is a query that an entry runs.
+type entryQuery struct {
 	entry       int
 	fingerprint string
 	machine     *query.Machine
 	answer      *query.Answer
 }
 
-// message is a record on its way to a peer.
+// message is an announced record in flight to a peer.
 type message struct {
 	to     int
 	at     time.Time
 	record quarantine.Record
 }
 
-// fleet is 8 entries and the leaves they share, in virtual time. A leaf that
-// breaks is back at once: the worst case for the number of breaks.
+// fleet simulates 8 entries and the leaves they share, in virtual time. A leaf that
+// crashes is back at once: the worst case for the number of crashes.
 type fleet struct {
 	t        *testing.T
 	view     *view.View
 	tracker  *snapshot.Tracker
 	entries  []*quarantine.Machine
-	slots    [][]job // by leaf
-	queries  []*running
+	slots    [][]occupant // by leaf
+	queries  []*entryQuery
 	messages []message
-	push     bool
+	announce bool // deliver announced records, not digests alone
 	now      time.Time
-	breaks   []int // by leaf
+	crashes  []int // by leaf
 }
 
-func newFleet(t *testing.T, shardCount int, push bool) *fleet {
+func newFleet(t *testing.T, shardCount int, announce bool) *fleet {
 	up := document.Upstream{Name: "u", KeySpace: uint64(shardCount)}
 	for s := range shardCount {
 		up.Shards = append(up.Shards, document.Shard{
@@ -75,10 +75,10 @@
 	}
 	doc := &document.Document{
 		Upstreams: []document.Upstream{up},
-		Services:  []document.Service{{Name: "s", Upstreams: []string{"u"}, Idempotent: true, CanaryAbove: above}},
+		Services:  []document.Service{{Name: "s", Upstreams: []string{"u"}, Idempotent: true, CanaryAbove: canaryAbove}},
 	}
 	v := view.Build(1, "", doc, func(string) bool { return false }, func(*document.Upstream, string) int { return 4 })
-	f := &fleet{t: t, view: v, tracker: snapshot.New(v), slots: make([][]job, len(v.Leaves)), breaks: make([]int, len(v.Leaves)), push: push, now: epoch}
+	f := &fleet{t: t, view: v, tracker: snapshot.New(v), slots: make([][]occupant, len(v.Leaves)), crashes: make([]int, len(v.Leaves)), announce: announce, now: epoch}
 	for i := range v.Leaves {
 		f.tracker.Observe(i, []uint64{1})
 	}
@@ -88,16 +88,16 @@
 	return f
 }
 
-// ask sends a request to an entry and returns its query, nil when refused.
-func (f *fleet) ask(entry int, fingerprint string) *running {
+// submit sends a request to an entry and returns its query, or nil when it is refused.
+func (f *fleet) submit(entry int, fingerprint string) *entryQuery {
 	seed := xxhash.Sum64String(fingerprint)
 	s := f.view.Services["s"]
 	d := f.entries[entry].Admit(fingerprint, s.Shards, s.Config.CanaryAbove, f.now)
 	if d.Mode == quarantine.ModeRefuse {
 		return nil
 	}
-	q := &running{entry: entry, fingerprint: fingerprint, machine: query.New(query.Config{
-		View: f.view, Service: s, Start: f.now, Deadline: f.now.Add(time.Second), Versions: f.tracker, Budget: noBudget{},
+	q := &entryQuery{entry: entry, fingerprint: fingerprint, machine: query.New(query.Config{
+		View: f.view, Service: s, Start: f.now, Deadline: f.now.Add(time.Second), Versions: f.tracker, Budget: noRepetition{},
 		Canary: d.Mode == quarantine.ModeCanary, Suspect: d.Mode == quarantine.ModeSuspect, Seed: seed,
 	})}
 	f.queries = append(f.queries, q)
@@ -105,26 +105,27 @@
 	return q
 }
 
-// handle runs an event and puts what is offered into slots.
-func (f *fleet) handle(q *running, ev query.Event) {
+// handle passes an event to a query and applies the actions; offered attempts start at
+// once.
+func (f *fleet) handle(q *entryQuery, ev query.Event) {
 	for _, act := range append([]query.Action(nil), q.machine.Handle(ev, f.now)...) {
 		switch act := act.(type) {
 		case query.Offer:
-			leaf := f.choose(act)
-			f.slots[leaf] = append(f.slots[leaf], job{q, act.Attempt, act.Solo, f.now.Add(runTime)})
+			leaf := f.pickLeaf(act)
+			f.slots[leaf] = append(f.slots[leaf], occupant{q, act.Attempt, act.Solo, f.now.Add(serviceTime)})
 			f.handle(q, query.Sent{Attempt: act.Attempt, Leaf: leaf})
 		case query.Withdraw:
 			f.remove(q, act.Attempt)
 		case query.Verdict:
-			f.verdict(q, act)
+			f.reportVerdict(q, act)
 		case query.Finish:
 			q.answer = &act.Answer
 		}
 	}
 }
 
-// choose takes the first leaf that is not to be avoided.
-func (f *fleet) choose(o query.Offer) int {
+// pickLeaf returns the first leaf that the offer does not avoid.
+func (f *fleet) pickLeaf(o query.Offer) int {
 	for _, leaf := range f.view.Upstreams[0].Shards[o.Shard].Leaves {
 		avoided := false
 		for _, a := range o.Avoid {
@@ -138,7 +139,7 @@
 	return 0
 }
 
-func (f *fleet) remove(q *running, id query.AttemptID) {
+func (f *fleet) remove(q *entryQuery, id query.AttemptID) {
 	for l := range f.slots {
 		kept := f.slots[l][:0]
 		for _, j := range f.slots[l] {
@@ -150,28 +151,28 @@
 	}
 }
 
-// verdict tells the entry's quarantine, and by push its peers.
-func (f *fleet) verdict(q *running, v query.Verdict) {
+// reportVerdict passes the end of an attempt to the entry's quarantine.
+func (f *fleet) reportVerdict(q *entryQuery, v query.Verdict) {
 	ev := quarantine.AttemptEnded{Fingerprint: q.fingerprint, Leaf: f.view.Leaves[v.Leaf].ID, Crashed: v.Crashed, Solo: v.Solo}
-	f.tell(q.entry, f.entries[q.entry].Handle(ev, f.now))
+	f.apply(q.entry, f.entries[q.entry].Handle(ev, f.now))
 }
 
-// tell does what a quarantine machine asks for.
-func (f *fleet) tell(entry int, actions []quarantine.Action) {
+// apply carries out the actions of an entry's quarantine machine.
+func (f *fleet) apply(entry int, actions []quarantine.Action) {
 	for _, act := range append([]quarantine.Action(nil), actions...) {
 		switch act := act.(type) {
 		case quarantine.Announce:
-			for to := 0; f.push && to < entries; to++ {
+			for to := 0; f.announce && to < entries; to++ {
 				f.messages = append(f.messages, message{to, f.now.Add(2 * time.Millisecond), act.Record})
 			}
 		case quarantine.PhaseChanged:
-			f.changed(entry, act)
+			f.changePhase(entry, act)
 		}
 	}
 }
 
-// changed tells the entry's running queries of a fingerprint.
-func (f *fleet) changed(entry int, c quarantine.PhaseChanged) {
+// changePhase passes the new phase of a fingerprint to the entry's running queries.
+func (f *fleet) changePhase(entry int, c quarantine.PhaseChanged) {
 	for _, q := range f.queries {
 		if q.entry != entry || q.fingerprint != c.Fingerprint || q.answer != nil {
 			continue
@@ -185,7 +186,7 @@
 	}
 }
 
-// step lets a millisecond pass.
+// step advances the time by a millisecond.
 func (f *fleet) step() {
 	f.now = f.now.Add(time.Millisecond)
 	due := f.messages
@@ -195,7 +196,7 @@
 			f.messages = append(f.messages, m)
 			continue
 		}
-		f.tell(m.to, f.entries[m.to].Handle(quarantine.RecordsReceived{Records: []quarantine.Record{m.record}}, f.now))
+		f.apply(m.to, f.entries[m.to].Handle(quarantine.RecordsReceived{Records: []quarantine.Record{m.record}}, f.now))
 	}
 	for _, q := range f.queries {
 		if q.answer == nil {
@@ -207,16 +208,17 @@
 	}
 }
 
-// runLeaf ends what is done; a poison breaks the leaf and all its slots.
+// runLeaf ends the attempts that are done. A poison request crashes the leaf, and all
+// attempts in its slots are lost.
 func (f *fleet) runLeaf(l int) {
-	for _, j := range append([]job(nil), f.slots[l]...) {
+	for _, j := range append([]occupant(nil), f.slots[l]...) {
 		if j.done.After(f.now) {
 			continue
 		}
 		if j.q.fingerprint == poison {
 			lost := f.slots[l]
 			f.slots[l] = nil
-			f.breaks[l]++
+			f.crashes[l]++
 			for _, x := range lost {
 				f.handle(x.q, query.Broken{Attempt: x.attempt, Leaf: l, Crash: true})
 			}
@@ -228,7 +230,7 @@
 	}
 }
 
-// gossip exchanges all digests.
+// gossip sends the digest of every entry to every entry.
 func (f *fleet) gossip() {
 	for i := range f.entries {
 		for j := range f.entries {
@@ -237,24 +239,24 @@
 	}
 }
 
-// total is the number of breaks, and of leaves that broke.
-func (f *fleet) total() (breaks, leaves int) {
-	for _, n := range f.breaks {
-		breaks += n
+// crashTotals returns the number of crashes and of leaves that crashed.
+func (f *fleet) crashTotals() (crashes, leaves int) {
+	for _, n := range f.crashes {
+		crashes += n
 		leaves += min(n, 1)
 	}
-	return breaks, leaves
+	return crashes, leaves
 }
 
-// sendPoison sends the poison 100 times over the entries, 20 ms apart, with an
-// innocent request beside each, and checks that the innocents are answered.
+// sendPoison sends the poison request 100 times to the entries in turn, 20 ms apart,
+// with a harmless request after each, and checks that the harmless ones are answered.
 func (f *fleet) sendPoison(gossipEvery int) (refused int) {
-	var innocents []*running
+	var harmless []*entryQuery
 	for i := range 100 {
-		if q := f.ask(i%entries, poison); q == nil {
+		if q := f.submit(i%entries, poison); q == nil {
 			refused++
 		}
-		innocents = append(innocents, f.ask((i+3)%entries, fmt.Sprintf("innocent%d", i)))
+		harmless = append(harmless, f.submit((i+3)%entries, fmt.Sprintf("innocent%d", i)))
 		for range 20 {
 			f.step()
 		}
@@ -265,62 +267,63 @@
 	for range 100 {
 		f.step()
 	}
-	for i, q := range innocents {
+	for i, q := range harmless {
 		if q == nil || q.answer == nil || q.answer.Outcome != query.Complete {
-			f.t.Errorf("innocent %d: %+v", i, q)
+			f.t.Errorf("harmless request %d: %+v", i, q)
 		}
 	}
 	return refused
 }
 
-// TestPoisonOverTheFleet counts what a request breaks that crashes each leaf.
-func TestPoisonOverTheFleet(t *testing.T) {
-	t.Run("told at once", func(t *testing.T) {
+// TestPoisonRequestCrashesFewLeaves counts the crashes that a request causes in the
+// whole fleet when it crashes every leaf that runs it.
+func TestPoisonRequestCrashesFewLeaves(t *testing.T) {
+	t.Run("announced at once", func(t *testing.T) {
 		f := newFleet(t, shards, true)
 		refused := f.sendPoison(1000)
-		if breaks, leaves := f.total(); breaks != 2 || leaves != 2 || refused != 98 {
-			t.Fatalf("%d breaks of %d leaves, %d refused", breaks, leaves, refused)
+		if crashes, leaves := f.crashTotals(); crashes != 2 || leaves != 2 || refused != 98 {
+			t.Fatalf("%d crashes of %d leaves, %d refused", crashes, leaves, refused)
 		}
 	})
-	t.Run("told by digest", func(t *testing.T) {
+	t.Run("spread by digest", func(t *testing.T) {
 		f := newFleet(t, shards, false)
 		refused := f.sendPoison(5)
-		if breaks, leaves := f.total(); breaks != 10 || leaves != 2 || refused != 95 {
-			t.Fatalf("%d breaks of %d leaves, %d refused; before the first digest 5 entries may each break one by canary and one alone", breaks, leaves, refused)
+		if crashes, leaves := f.crashTotals(); crashes != 10 || leaves != 2 || refused != 95 {
+			t.Fatalf("%d crashes of %d leaves, %d refused; before the first digest 5 entries may each crash one leaf by a canary and one by a suspect that runs alone", crashes, leaves, refused)
 		}
 	})
 }
 
-// TestNeighboursInTheSlotsAreAnswered has innocents on the four leaves that a
-// fan-out without canary breaks. All go on alone elsewhere; the few whose next
-// leaf and time are those of the poison's are lost with it, which no entry can
-// rule out alone.
-func TestNeighboursInTheSlotsAreAnswered(t *testing.T) {
+// TestOtherRequestsOnCrashedLeavesAreAnswered has harmless requests on the four leaves
+// that a poison request without canary crashes. All of them run on alone on other
+// leaves. The few that are on the same leaf at the same time as the next attempt of the
+// poison request are lost with it, which no entry can rule out by itself.
+func TestOtherRequestsOnCrashedLeavesAreAnswered(t *testing.T) {
 	const trials, perTrial = 40, 5
-	answered, breaks := 0, 0
+	answered, crashes := 0, 0
 	for trial := range trials {
-		f := newFleet(t, above, true)
-		f.ask(0, poison)
-		var innocents []*running
+		f := newFleet(t, canaryAbove, true)
+		f.submit(0, poison)
+		var harmless []*entryQuery
 		for i := range perTrial {
-			innocents = append(innocents, f.ask(i, fmt.Sprintf("innocent%d-%d", trial, i)))
+			harmless = append(harmless, f.submit(i, fmt.Sprintf("innocent%d-%d", trial, i)))
 		}
 		for range 400 {
 			f.step()
 		}
-		for _, q := range innocents {
+		for _, q := range harmless {
 			if q.answer != nil && q.answer.Outcome == query.Complete {
 				answered++
 			}
 		}
-		if d := f.entries[7].Admit(poison, shards, above, f.now); d.Mode != quarantine.ModeRefuse {
-			t.Errorf("the poison may run in mode %d", d.Mode)
+		if d := f.entries[7].Admit(poison, shards, canaryAbove, f.now); d.Mode != quarantine.ModeRefuse {
+			t.Errorf("the poison request may run in mode %d", d.Mode)
 		}
-		n, _ := f.total()
-		breaks = max(breaks, n)
+		n, _ := f.crashTotals()
+		crashes = max(crashes, n)
 	}
-	t.Logf("%d of %d innocents answered in full; at most %d breaks", answered, trials*perTrial, breaks)
-	if answered < 190 || breaks != above+1 {
-		t.Errorf("%d of %d innocents answered in full; at most %d breaks", answered, trials*perTrial, breaks)
+	t.Logf("%d of %d harmless requests answered in full; at most %d crashes", answered, trials*perTrial, crashes)
+	if answered < 190 || crashes != canaryAbove+1 {
+		t.Errorf("%d of %d harmless requests answered in full; at most %d crashes", answered, trials*perTrial, crashes)
 	}
 }
--- a/kernel/quarantine/machine.go
+++ b/kernel/quarantine/machine.go
@@ -6,24 +6,26 @@
 	"time"
 )
 
-// Machine keeps the records of one entry.
+// Machine is the quarantine state of one instance. It is not safe for concurrent
+// use.
 type Machine struct {
 	cfg     Config
 	records map[string]Record
-	good    goodSet
-	out     []Action
+	good    goodSet  // ran to completion
+	actions []Action // of the event in hand
 }
 
-// New returns a machine that knows no fingerprint.
+// New returns a Machine without records.
 func New(cfg Config) *Machine {
 	return &Machine{cfg: cfg, records: make(map[string]Record), good: goodSet{limit: max(cfg.MaxKnownGood, 1)}}
 }
 
-// Admit decides how a request may run that asks the given number of shards.
+// Admit decides how a request that queries the given number of shards may run.
 //
-// A canary is skipped for a fan-out of at most canaryAbove shards, whose worst
-// case the operator has accepted, and for a fingerprint that ran to its end
-// before: what breaks a leaf breaks each that runs it.
+// No canary is needed for a fan-out of at most canaryAbove shards, where the
+// operator accepts that every one of them may crash, nor for a fingerprint that ran
+// to completion before: a request that crashes one leaf crashes every leaf that runs
+// it. A canaryAbove of 0 turns canaries off.
 func (m *Machine) Admit(fingerprint string, shards, canaryAbove int, now time.Time) Decision {
 	r, ok := m.live(fingerprint, now)
 	switch {
@@ -38,38 +40,38 @@
 	}
 }
 
-// Handle takes an event and returns the actions it causes. The slice is valid
+// Handle processes one event and returns the resulting actions. The slice is valid
 // until the next call.
 func (m *Machine) Handle(ev Event, now time.Time) []Action {
-	m.out = m.out[:0]
+	m.actions = m.actions[:0]
 	switch ev := ev.(type) {
 	case AttemptEnded:
-		m.observed(ev, now)
+		m.recordEnd(ev, now)
 	case RecordsReceived:
 		for _, r := range ev.Records {
 			m.merge(r, now)
 		}
 	case Lifted:
 		if r, ok := m.live(ev.Fingerprint, now); ok && r.Phase() != PhaseClear {
-			m.change(r, PhaseClear, m.cfg.SuspectDuration, now)
+			m.setPhase(r, PhaseClear, m.cfg.SuspectDuration, now)
 		}
 	case Tick:
 		for fingerprint := range m.records {
 			m.live(fingerprint, now)
 		}
 	}
-	return m.out
+	return m.actions
 }
 
-// live returns the record in force now. A quarantine that has passed leaves a
-// suspect behind; any other record that has passed is forgotten.
+// live returns the unexpired record of a fingerprint. An expired quarantine becomes
+// a suspect; any other expired record is deleted.
 func (m *Machine) live(fingerprint string, now time.Time) (Record, bool) {
 	r, ok := m.records[fingerprint]
 	if !ok || now.Before(r.ExpiresAt) {
 		return r, ok
 	}
 	if r.Phase() == PhaseQuarantined {
-		r.Level = r.next(PhaseSuspect)
+		r.Level = r.nextLevel(PhaseSuspect)
 		r.ExpiresAt = r.ExpiresAt.Add(m.cfg.SuspectDuration)
 		m.records[fingerprint] = r
 		return m.live(fingerprint, now)
@@ -78,83 +80,83 @@
 	return Record{}, false
 }
 
-// observed learns from the end of an attempt.
-func (m *Machine) observed(ev AttemptEnded, now time.Time) {
+// recordEnd updates the record of a fingerprint after the end of an attempt.
+func (m *Machine) recordEnd(ev AttemptEnded, now time.Time) {
 	r, ok := m.live(ev.Fingerprint, now)
 	r.Fingerprint = ev.Fingerprint
 	if !ev.Crashed {
 		m.good.add(ev.Fingerprint)
 		if ok && r.Phase() != PhaseClear {
-			m.change(r, PhaseClear, m.cfg.SuspectDuration, now)
+			m.setPhase(r, PhaseClear, m.cfg.SuspectDuration, now)
 		}
 		return
 	}
 	m.good.remove(ev.Fingerprint)
 	switch {
 	case r.Phase() == PhaseClear:
-		m.change(r, PhaseSuspect, m.cfg.SuspectDuration, now)
+		m.setPhase(r, PhaseSuspect, m.cfg.SuspectDuration, now)
 	case r.Phase() == PhaseSuspect && ev.Solo:
-		m.change(r, PhaseQuarantined, m.cfg.QuarantineDuration, now)
+		m.setPhase(r, PhaseQuarantined, m.cfg.QuarantineDuration, now)
 	}
 }
 
-// change moves a record on to a phase and tells of it.
-func (m *Machine) change(r Record, p Phase, lasts time.Duration, now time.Time) {
-	r.Level = r.next(p)
-	r.ExpiresAt = now.Add(lasts)
+// setPhase moves a record to another phase and announces it.
+func (m *Machine) setPhase(r Record, p Phase, lifetime time.Duration, now time.Time) {
+	r.Level = r.nextLevel(p)
+	r.ExpiresAt = now.Add(lifetime)
 	m.put(r)
-	m.out = append(m.out, Announce{Record: r}, PhaseChanged{Fingerprint: r.Fingerprint, Phase: p, Remaining: lasts})
+	m.actions = append(m.actions, Announce{Record: r}, PhaseChanged{Fingerprint: r.Fingerprint, Phase: p, Remaining: lifetime})
 }
 
-// merge takes in a peer's record.
+// merge adds a record from a peer. It ignores records that are expired, that it
+// already has, or whose level is out of range.
 func (m *Machine) merge(r Record, now time.Time) {
 	if r.Level <= 0 || r.Level > maxLevel || !now.Before(r.ExpiresAt) {
 		return
 	}
-	r.ExpiresAt = earliest(r.ExpiresAt, now.Add(max(m.cfg.QuarantineDuration, m.cfg.SuspectDuration)))
+	// A peer can't make a record outlive one of this instance's own.
+	r.ExpiresAt = earlierOf(r.ExpiresAt, now.Add(max(m.cfg.QuarantineDuration, m.cfg.SuspectDuration)))
 	old, _ := m.live(r.Fingerprint, now)
 	if r.Level < old.Level || (r.Level == old.Level && !r.ExpiresAt.After(old.ExpiresAt)) {
 		return
 	}
 	m.put(r)
 	if r.Level > old.Level {
-		// A record is passed on at once, and each entry does so once per level, so
-		// that it reaches all in a number of steps that grows with the logarithm
-		// of the fleet.
-		m.out = append(m.out, Announce{Record: r}, PhaseChanged{Fingerprint: r.Fingerprint, Phase: r.Phase(), Remaining: r.ExpiresAt.Sub(now)})
+		// Each instance forwards a record at once, and once per level, so that the
+		// record reaches all instances in a number of hops that is logarithmic in the
+		// size of the fleet.
+		m.actions = append(m.actions, Announce{Record: r}, PhaseChanged{Fingerprint: r.Fingerprint, Phase: r.Phase(), Remaining: r.ExpiresAt.Sub(now)})
 	}
 }
 
-// maxLevel bounds what is taken from a peer. A level grows by at most two with
-// each event, so that no honest one comes near it.
+// maxLevel is the greatest level accepted from a peer. A level grows by at most two
+// with each event, so that a correct peer never comes near it.
 const maxLevel = 1 << 20
 
-// earliest is the earlier of two times: a peer can't make a record last longer
-// than one of this instance's own.
-func earliest(a, b time.Time) time.Time {
+func earlierOf(a, b time.Time) time.Time {
 	if a.Before(b) {
 		return a
 	}
 	return b
 }
 
-// put keeps a record; above the bound the least important one goes.
+// put stores a record and, above MaxRecords, deletes the least important one.
 func (m *Machine) put(r Record) {
 	m.records[r.Fingerprint] = r
 	if len(m.records) <= m.cfg.MaxRecords {
 		return
 	}
 	least := r
-	for _, x := range m.records {
-		if byImportance(x, least) > 0 {
-			least = x
+	for _, other := range m.records {
+		if byImportance(other, least) > 0 {
+			least = other
 		}
 	}
 	delete(m.records, least.Fingerprint)
 }
 
-// byImportance orders the quarantined before suspects before the cleared, then
-// those that last longer first.
+// byImportance orders records by phase, quarantined first and clear last, and within
+// a phase by expiry, the latest first.
 func byImportance(a, b Record) int {
 	return cmp.Or(
 		cmp.Compare(b.Phase(), a.Phase()),
@@ -163,13 +165,13 @@
 	)
 }
 
-// Digest returns the most important records to tell a peer.
+// Digest returns the most important records, to be sent to a peer.
 func (m *Machine) Digest(now time.Time) []Record {
 	out := m.Records(now)
 	return out[:min(len(out), m.cfg.MaxDigestRecords)]
 }
 
-// Records lists all records in force, the most important first.
+// Records returns all unexpired records, the most important first.
 func (m *Machine) Records(now time.Time) []Record {
 	var out []Record
 	for fingerprint := range m.records {
@@ -181,14 +183,14 @@
 	return out
 }
 
-// goodSet remembers fingerprints that ran to their end, the older half of them
-// forgotten when the newer half is full.
+// goodSet is a bounded set of fingerprints that ran to completion, in two
+// generations: when the younger one holds half of the limit, the older one is
+// dropped and a new one begins.
 type goodSet struct {
 	limit      int
 	young, old map[string]struct{}
 }
 
-// has reports whether a fingerprint is remembered.
 func (s *goodSet) has(fingerprint string) bool {
 	if _, ok := s.young[fingerprint]; ok {
 		return true
@@ -197,7 +199,6 @@
 	return ok
 }
 
-// add remembers a fingerprint.
 func (s *goodSet) add(fingerprint string) {
 	if _, ok := s.young[fingerprint]; ok {
 		return
@@ -209,7 +210,6 @@
 	s.young[fingerprint] = struct{}{}
 }
 
-// remove forgets a fingerprint.
 func (s *goodSet) remove(fingerprint string) {
 	delete(s.young, fingerprint)
 	delete(s.old, fingerprint)
--- a/kernel/quarantine/machine_test.go
+++ b/kernel/quarantine/machine_test.go
@@ -31,9 +31,9 @@
 )
 
 const (
-	fp     = "f00d"
-	shards = 8
-	above  = 4
+	fp          = "f00d"
+	shards      = 8
+	canaryAbove = 4
 )
 
 func crash(solo bool) quarantine.AttemptEnded {
@@ -42,34 +42,35 @@
 
 func success() quarantine.AttemptEnded { return quarantine.AttemptEnded{Fingerprint: fp, Leaf: "l"} }
 
-// wantMode fails unless the fingerprint would run in a mode.
+// wantMode fails the test unless the fingerprint would run in the given mode, and
+// returns the decision.
 func wantMode(t *testing.T, m *quarantine.Machine, now time.Time, want quarantine.Mode) quarantine.Decision {
 	t.Helper()
-	d := m.Admit(fp, shards, above, now)
+	d := m.Admit(fp, shards, canaryAbove, now)
 	if d.Mode != want {
 		t.Fatalf("mode %d, want %d", d.Mode, want)
 	}
 	return d
 }
 
-func TestCanaryRule(t *testing.T) {
+func TestCanaryOnlyForUnknownWideFanOut(t *testing.T) {
 	m := quarantine.New(cfg)
 	wantMode(t, m, epoch, quarantine.ModeCanary)
-	for _, c := range []struct{ shards, above int }{{above, above}, {shards, 0}} {
-		if d := m.Admit(fp, c.shards, c.above, epoch); d.Mode != quarantine.ModeRun {
-			t.Fatalf("%d shards with the canary above %d: mode %d", c.shards, c.above, d.Mode)
+	for _, c := range []struct{ shards, canaryAbove int }{{canaryAbove, canaryAbove}, {shards, 0}} {
+		if d := m.Admit(fp, c.shards, c.canaryAbove, epoch); d.Mode != quarantine.ModeRun {
+			t.Fatalf("%d shards with the canary above %d: mode %d", c.shards, c.canaryAbove, d.Mode)
 		}
 	}
 	m.Handle(success(), epoch)
 	wantMode(t, m, epoch, quarantine.ModeRun)
 }
 
-func TestTwoBreaksQuarantineForATime(t *testing.T) {
+func TestSecondCrashAloneQuarantinesForATime(t *testing.T) {
 	m := quarantine.New(cfg)
 	m.Handle(success(), epoch)
 	m.Handle(crash(false), epoch)
 	wantMode(t, m, epoch, quarantine.ModeSuspect)
-	m.Handle(crash(false), epoch) // the same break, seen by another attempt
+	m.Handle(crash(false), epoch) // the same crash, seen by another attempt
 	wantMode(t, m, epoch, quarantine.ModeSuspect)
 	m.Handle(crash(true), epoch)
 	now := epoch.Add(20 * time.Second)
@@ -83,37 +84,37 @@
 	wantMode(t, m, now.Add(cfg.QuarantineDuration+cfg.SuspectDuration), quarantine.ModeCanary)
 }
 
-func TestSuccessClearsANeighbour(t *testing.T) {
-	here, there := quarantine.New(cfg), quarantine.New(cfg)
-	here.Handle(crash(false), epoch)
-	there.Handle(quarantine.RecordsReceived{Records: here.Digest(epoch)}, epoch)
-	wantMode(t, there, epoch, quarantine.ModeSuspect)
-	actions := here.Handle(success(), epoch)
+func TestSuccessClearsSuspectAtAllInstances(t *testing.T) {
+	local, peer := quarantine.New(cfg), quarantine.New(cfg)
+	local.Handle(crash(false), epoch)
+	peer.Handle(quarantine.RecordsReceived{Records: local.Digest(epoch)}, epoch)
+	wantMode(t, peer, epoch, quarantine.ModeSuspect)
+	actions := local.Handle(success(), epoch)
 	if len(actions) != 2 {
 		t.Fatalf("actions %v", actions)
 	}
 	announced := actions[0].(quarantine.Announce).Record
-	wantMode(t, here, epoch, quarantine.ModeRun)
-	here.Handle(quarantine.RecordsReceived{Records: there.Digest(epoch)}, epoch)
-	wantMode(t, here, epoch, quarantine.ModeRun)
-	changed := there.Handle(quarantine.RecordsReceived{Records: []quarantine.Record{announced}}, epoch)
+	wantMode(t, local, epoch, quarantine.ModeRun)
+	local.Handle(quarantine.RecordsReceived{Records: peer.Digest(epoch)}, epoch)
+	wantMode(t, local, epoch, quarantine.ModeRun)
+	changed := peer.Handle(quarantine.RecordsReceived{Records: []quarantine.Record{announced}}, epoch)
 	if len(changed) != 2 || changed[0].(quarantine.Announce).Record != announced || changed[1].(quarantine.PhaseChanged).Phase != quarantine.PhaseClear {
 		t.Fatalf("actions %v", changed)
 	}
-	if again := there.Handle(quarantine.RecordsReceived{Records: []quarantine.Record{announced}}, epoch); len(again) != 0 {
-		t.Fatalf("old news is passed on: %v", again)
+	if again := peer.Handle(quarantine.RecordsReceived{Records: []quarantine.Record{announced}}, epoch); len(again) != 0 {
+		t.Fatalf("a known record is announced again: %v", again)
 	}
-	wantMode(t, there, epoch, quarantine.ModeRun)
+	wantMode(t, peer, epoch, quarantine.ModeRun)
 }
 
-func TestLiftedStaysLifted(t *testing.T) {
-	here, there := quarantine.New(cfg), quarantine.New(cfg)
-	here.Handle(crash(false), epoch)
-	here.Handle(crash(true), epoch)
-	there.Handle(quarantine.RecordsReceived{Records: here.Digest(epoch)}, epoch)
-	here.Handle(quarantine.Lifted{Fingerprint: fp}, epoch)
-	here.Handle(quarantine.RecordsReceived{Records: there.Digest(epoch)}, epoch)
-	wantMode(t, here, epoch, quarantine.ModeRun)
+func TestLiftedQuarantineIsNotRestoredByPeer(t *testing.T) {
+	local, peer := quarantine.New(cfg), quarantine.New(cfg)
+	local.Handle(crash(false), epoch)
+	local.Handle(crash(true), epoch)
+	peer.Handle(quarantine.RecordsReceived{Records: local.Digest(epoch)}, epoch)
+	local.Handle(quarantine.Lifted{Fingerprint: fp}, epoch)
+	local.Handle(quarantine.RecordsReceived{Records: peer.Digest(epoch)}, epoch)
+	wantMode(t, local, epoch, quarantine.ModeRun)
 }
 
 func TestExpiredRecordsAreNotMerged(t *testing.T) {
@@ -122,8 +123,9 @@
 	wantMode(t, m, epoch, quarantine.ModeCanary)
 }
 
-// TestMergeIsASemilattice merges records in any order, grouping and number.
-func TestMergeIsASemilattice(t *testing.T) {
+// TestMergeIsIndependentOfOrder merges the same records in different orders, groups
+// and repetitions.
+func TestMergeIsIndependentOfOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		records := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) quarantine.Record {
 			return quarantine.Record{
@@ -132,22 +134,22 @@
 				ExpiresAt:   epoch.Add(time.Duration(rapid.IntRange(1, 5).Draw(t, "until")) * time.Second),
 			}
 		}), 1, 10).Draw(t, "records")
-		one, other := quarantine.New(cfg), quarantine.New(cfg)
-		one.Handle(quarantine.RecordsReceived{Records: records}, epoch)
+		direct, relayed := quarantine.New(cfg), quarantine.New(cfg)
+		direct.Handle(quarantine.RecordsReceived{Records: records}, epoch)
 		for _, r := range rapid.Permutation(records).Draw(t, "order") {
 			via := quarantine.New(cfg)
 			via.Handle(quarantine.RecordsReceived{Records: []quarantine.Record{r}}, epoch)
-			other.Handle(quarantine.RecordsReceived{Records: via.Digest(epoch)}, epoch)
-			via.Handle(quarantine.RecordsReceived{Records: other.Digest(epoch)}, epoch)
-			other.Handle(quarantine.RecordsReceived{Records: via.Digest(epoch)}, epoch)
+			relayed.Handle(quarantine.RecordsReceived{Records: via.Digest(epoch)}, epoch)
+			via.Handle(quarantine.RecordsReceived{Records: relayed.Digest(epoch)}, epoch)
+			relayed.Handle(quarantine.RecordsReceived{Records: via.Digest(epoch)}, epoch)
 		}
-		if a, b := one.Records(epoch), other.Records(epoch); !slices.Equal(a, b) {
+		if a, b := direct.Records(epoch), relayed.Records(epoch); !slices.Equal(a, b) {
 			t.Fatalf("%v and %v", a, b)
 		}
 	})
 }
 
-func TestBounds(t *testing.T) {
+func TestRecordsAndKnownGoodAreBounded(t *testing.T) {
 	small := cfg
 	small.MaxRecords, small.MaxDigestRecords, small.MaxKnownGood = 3, 2, 4
 	m := quarantine.New(small)
@@ -171,26 +173,26 @@
 	}
 	good := 0
 	for i := range 10 {
-		if m.Admit(name(i), shards, above, epoch).Mode == quarantine.ModeRun {
+		if m.Admit(name(i), shards, canaryAbove, epoch).Mode == quarantine.ModeRun {
 			good++
 		}
 	}
-	if good != 4 || m.Admit("j", shards, above, epoch).Mode != quarantine.ModeRun {
+	if good != 4 || m.Admit("j", shards, canaryAbove, epoch).Mode != quarantine.ModeRun {
 		t.Fatalf("%d known good", good)
 	}
 }
 
-// TestAFaultyPeerIsBounded merges a level and a time that no honest peer has.
-func TestAFaultyPeerIsBounded(t *testing.T) {
+// TestFaultyPeerRecordIsBounded merges a level and an expiry that no correct peer sends.
+func TestFaultyPeerRecordIsBounded(t *testing.T) {
 	m := quarantine.New(cfg)
 	far := epoch.Add(200 * 365 * 24 * time.Hour)
 	m.Handle(quarantine.RecordsReceived{Records: []quarantine.Record{{Fingerprint: fp, Level: math.MaxInt - 1, ExpiresAt: far}}}, epoch)
 	if got := m.Records(epoch); len(got) != 0 {
-		t.Errorf("a level beyond reason was taken: %v", got)
+		t.Errorf("a level out of range was accepted: %v", got)
 	}
 	m.Handle(quarantine.RecordsReceived{Records: []quarantine.Record{{Fingerprint: fp, Level: 2, ExpiresAt: far}}}, epoch)
 	wantMode(t, m, epoch, quarantine.ModeRefuse)
 	if got := m.Records(epoch); len(got) != 1 || got[0].ExpiresAt.After(epoch.Add(cfg.QuarantineDuration+cfg.SuspectDuration)) {
-		t.Errorf("a peer's record lasts until %v", got)
+		t.Errorf("a peer's record expires at %v", got)
 	}
 }
--- a/kernel/quarantine/quarantine.go
+++ b/kernel/quarantine/quarantine.go
@@ -1,72 +1,76 @@
-// Package quarantine decides what may run of a request that was on a leaf when
-// it broke. Requests are known by their fingerprint, an opaque keyed hash of
-// caller, service and body.
+// Package quarantine decides whether and how a request may run that was on a leaf
+// when the leaf crashed. It identifies a request by its fingerprint, an opaque keyed
+// hash of caller, service and body. Instances exchange their records, so that a
+// request which crashes leaves is refused by all of them.
 package quarantine
 
 import "time"
 
-// Config sets the times and bounds of a machine.
+// Config sets the durations and bounds of a Machine.
 type Config struct {
-	// QuarantineDuration is how long a fingerprint with two breaks is refused. After
-	// that it is a suspect again, so that a resend breaks one leaf at most.
+	// QuarantineDuration is how long a fingerprint with two crashes is refused. After
+	// that it is a suspect again, so that a resend crashes one leaf at most.
 	QuarantineDuration time.Duration
-	// SuspectDuration is how long one break, or its clearing, is remembered.
+	// SuspectDuration is how long one crash, or the clearing of a suspect, is remembered.
 	SuspectDuration time.Duration
-	// MaxRecords bounds the suspects and quarantined fingerprints kept.
+	// MaxRecords bounds the records kept, of all phases.
 	MaxRecords int
-	// MaxKnownGood bounds the known-good fingerprints kept.
+	// MaxKnownGood bounds the fingerprints kept that ran to completion.
 	MaxKnownGood int
-	// MaxDigestRecords bounds the records sent to a peer.
+	// MaxDigestRecords bounds the records in a digest for a peer.
 	MaxDigestRecords int
 }
 
-// Record is the state of a fingerprint. Records merge by the greater Level
-// and, of equal levels, the later Until: the merge is commutative, associative
-// and idempotent.
+// Record is the state of a fingerprint. Of two records the one with the greater Level
+// wins and, of equal levels, the one with the later ExpiresAt: the merge is
+// commutative, associative and idempotent.
 type Record struct {
 	Fingerprint string
-	// Level grows with each change, and its remainder by 3 is the Phase.
+	// Level is a counter that each change of phase increases; Level modulo 3 is the
+	// Phase.
 	Level     int
 	ExpiresAt time.Time
 }
 
-// Phase is what a record says of its fingerprint.
+// Phase is the state of a fingerprint.
 type Phase int
 
-// The phases, in the order in which levels pass through them.
+// The phases, in the order in which growing levels pass through them.
 const (
-	PhaseClear       Phase = iota // a success has shown it harmless
-	PhaseSuspect                  // it was on a leaf that broke
-	PhaseQuarantined              // it broke a second leaf, alone
-	phases
+	PhaseClear       Phase = iota // it ran to completion or was released by an operator
+	PhaseSuspect                  // it was on a leaf that crashed
+	PhaseQuarantined              // it crashed a second leaf while it ran there alone
+	phaseCount
 )
 
 // Phase returns the phase of the record's level.
-func (r Record) Phase() Phase { return Phase(r.Level % int(phases)) }
+func (r Record) Phase() Phase { return Phase(r.Level % int(phaseCount)) }
 
-// next is the lowest greater level of another phase.
-func (r Record) next(p Phase) int {
-	return r.Level + (int(p)-int(r.Phase())+int(phases))%int(phases)
+// nextLevel returns the lowest level of phase p above the record's own; p is another
+// phase than the record's.
+func (r Record) nextLevel(p Phase) int {
+	return r.Level + (int(p)-int(r.Phase())+int(phaseCount))%int(phaseCount)
 }
 
 // Event is an input of the machine.
 type Event interface{ isEvent() }
 
-// AttemptEnded is how an attempt ended on a leaf.
+// AttemptEnded reports that an attempt ran to completion or was on a leaf that
+// crashed.
 type AttemptEnded struct {
 	Fingerprint string
 	Leaf        string
-	Crashed     bool // false: it ran to its end
-	Solo        bool // it ran alone: a canary or a suspect
+	Crashed     bool // the leaf crashed; false: the attempt ran to completion
+	Solo        bool // no other attempt ran on the leaf: a canary or a suspect
 }
 
-// RecordsReceived brings a peer's records.
+// RecordsReceived carries records from a peer.
 type RecordsReceived struct{ Records []Record }
 
-// Lifted is an operator's word that a fingerprint may run again.
+// Lifted reports that an operator allows a fingerprint to run again.
 type Lifted struct{ Fingerprint string }
 
-// Tick lets records expire.
+// Tick makes the machine expire records.
 type Tick struct{}
 
 func (AttemptEnded) isEvent()    {}
@@ -77,15 +81,17 @@
 // Action is an output of the machine.
 type Action interface{ isAction() }
 
-// Announce asks to tell the peers of a record at once, ahead of the next digest.
+// Announce asks for a record to be sent to the peers at once, ahead of the next
+// digest.
 type Announce struct{ Record Record }
 
-// PhaseChanged tells the running queries of a fingerprint of its new phase: Cleared
-// and Condemned of the query package, the latter with Left as its RetryAfter.
+// PhaseChanged reports the new phase of a fingerprint. Running queries with this
+// fingerprint get query.Cleared for PhaseClear and query.Condemned for
+// PhaseQuarantined, with Remaining as its RetryAfter.
 type PhaseChanged struct {
 	Fingerprint string
 	Phase       Phase
-	Remaining   time.Duration
+	Remaining   time.Duration // until the record expires
 }
 
 func (Announce) isAction()     {}
@@ -94,16 +100,16 @@
 // Mode is how a request may run.
 type Mode int
 
-// The modes.
+// The modes of running a request.
 const (
-	ModeRun     Mode = iota // as any other
-	ModeCanary              // one part alone first
-	ModeSuspect             // one part alone first, and a second break ends it
-	ModeRefuse              // not at all, until RetryAfter has passed
+	ModeRun     Mode = iota // without restriction
+	ModeCanary              // one part runs alone first
+	ModeSuspect             // one part runs alone first, and a crash quarantines the request
+	ModeRefuse              // not until RetryAfter has passed
 )
 
-// Decision is how a request may run.
+// Decision says how a request may run.
 type Decision struct {
 	Mode       Mode
-	RetryAfter time.Duration
+	RetryAfter time.Duration // set for ModeRefuse
 }
--- a/kernel/slowness/detector.go
+++ b/kernel/slowness/detector.go
@@ -1,7 +1,7 @@
-// Package slowness gathers what many instances see of slow leaves. One instance
-// of a large fleet asks a leaf about once a second and learns too late that it
-// is slow; together they ask it often. A leaf that merely pauses for a moment is
-// distinguished by the time between two observations.
+// Package slowness detects slow leaves from the observations of many instances. One
+// instance of a large fleet sends a leaf about one attempt a second and learns too
+// late that it is slow; all instances together observe it often. The time between two
+// observations tells a slow leaf from one that pauses briefly.
 package slowness
 
 import (
@@ -10,95 +10,96 @@
 	"time"
 )
 
-// Observation is one outcome at a leaf.
+// Observation is the duration of one attempt on a leaf.
 type Observation struct {
 	Leaf string
-	// Elapsed is how long the attempt took, or was out before it was given up.
+	// Elapsed is the latency of the attempt, or the time until it was given up.
 	Elapsed time.Duration
-	// Slow says that this was far more than usual; else it clears the leaf.
+	// Slow says that Elapsed is far above the usual latency; an observation that is
+	// not slow clears the leaf.
 	Slow bool
 	At   time.Time
 }
 
-// SlowLeaf is a leaf that is taken to be slow.
+// SlowLeaf is a leaf that is considered slow.
 type SlowLeaf struct {
 	Leaf string
-	// Elapsed is the longest that was seen lately.
+	// Elapsed is the longest of the recent slow observations.
 	Elapsed time.Duration
-	// At is when it was last seen to be slow.
+	// At is the time of the last slow observation.
 	At time.Time
 }
 
 const (
-	// pause is longer than leaves pause for a moment (120 ms): observations that
-	// lie closer together may all be of one pause.
-	pause = 150 * time.Millisecond
-	// remember is for how long a observation counts. It is shorter than the time
-	// between two pauses of a leaf (3 s).
-	remember = 2 * time.Second
-	// mostLeaves bounds the leaves that are kept.
-	mostLeaves = 1024
+	// maxPause is longer than the brief pauses of leaves (120 ms): slow observations
+	// that lie closer together may all be of one pause.
+	maxPause = 150 * time.Millisecond
+	// observationLifetime is how long an observation counts. It is shorter than the
+	// time between two pauses of a leaf (3 s).
+	observationLifetime = 2 * time.Second
+	// maxLeaves bounds the leaves that are tracked.
+	maxLeaves = 1024
 )
 
-// Detector is the state. It is used by one goroutine at a time.
+// Detector tracks the recent slow observations of each leaf. It is not safe for
+// concurrent use.
 type Detector struct {
-	leaves map[string]*entry
+	leaves map[string]*leafState
 }
 
-// entry is what was seen of a leaf.
-type entry struct {
-	first, last time.Time // of the slow observations that count
-	took        time.Duration
+// leafState summarizes the recent slow observations of a leaf.
+type leafState struct {
+	first, last time.Time
+	elapsed     time.Duration // the longest
 }
 
-// NewDetector returns an empty detector.
-func NewDetector() *Detector { return &Detector{leaves: make(map[string]*entry)} }
+// NewDetector returns a Detector without observations.
+func NewDetector() *Detector { return &Detector{leaves: make(map[string]*leafState)} }
 
-// Add takes observations; they may come late and in any order.
-func (b *Detector) Add(list []Observation, now time.Time) {
-	for _, s := range list {
-		if now.Sub(s.At) < remember {
-			b.add(s)
+// Add adds observations, which may come late and in any order.
+func (d *Detector) Add(list []Observation, now time.Time) {
+	for _, o := range list {
+		if now.Sub(o.At) < observationLifetime {
+			d.add(o)
 		}
 	}
 }
 
-// add takes one observation.
-func (b *Detector) add(s Observation) {
-	e := b.leaves[s.Leaf]
+func (d *Detector) add(o Observation) {
+	s := d.leaves[o.Leaf]
 	switch {
-	case !s.Slow:
-		if e != nil && s.At.After(e.last) {
-			delete(b.leaves, s.Leaf)
+	case !o.Slow:
+		if s != nil && o.At.After(s.last) {
+			delete(d.leaves, o.Leaf)
 		}
-	case e == nil:
-		if len(b.leaves) < mostLeaves {
-			b.leaves[s.Leaf] = &entry{first: s.At, last: s.At, took: s.Elapsed}
+	case s == nil:
+		if len(d.leaves) < maxLeaves {
+			d.leaves[o.Leaf] = &leafState{first: o.At, last: o.At, elapsed: o.Elapsed}
 		}
-	case s.At.Sub(e.last) >= remember:
-		*e = entry{first: s.At, last: s.At, took: s.Elapsed}
+	case o.At.Sub(s.last) >= observationLifetime:
+		*s = leafState{first: o.At, last: o.At, elapsed: o.Elapsed}
 	default:
-		e.took = max(e.took, s.Elapsed)
-		if s.At.Before(e.first) {
-			e.first = s.At
+		s.elapsed = max(s.elapsed, o.Elapsed)
+		if o.At.Before(s.first) {
+			s.first = o.At
 		}
-		if s.At.After(e.last) {
-			e.last = s.At
+		if o.At.After(s.last) {
+			s.last = o.At
 		}
 	}
 }
 
-// SlowLeaves lists the leaves that are taken to be slow now, in the order of their
-// names, and forgets what no longer counts.
-func (b *Detector) SlowLeaves(now time.Time) []SlowLeaf {
+// SlowLeaves returns the leaves that are considered slow at the given time, sorted by
+// name, and forgets leaves whose observations have expired.
+func (d *Detector) SlowLeaves(now time.Time) []SlowLeaf {
 	var out []SlowLeaf
-	for leaf, e := range b.leaves {
-		if now.Sub(e.last) >= remember {
-			delete(b.leaves, leaf)
+	for leaf, s := range d.leaves {
+		if now.Sub(s.last) >= observationLifetime {
+			delete(d.leaves, leaf)
 			continue
 		}
-		if e.last.Sub(e.first) >= pause {
-			out = append(out, SlowLeaf{Leaf: leaf, Elapsed: e.took, At: e.last})
+		if s.last.Sub(s.first) >= maxPause {
+			out = append(out, SlowLeaf{Leaf: leaf, Elapsed: s.elapsed, At: s.last})
 		}
 	}
 	slices.SortFunc(out, func(a, b SlowLeaf) int { return cmp.Compare(a.Leaf, b.Leaf) })
