--- a/entry/ledger/calls.go
+++ b/entry/ledger/calls.go
@@ -59,7 +59,7 @@
 		if err := checkLayout(ctx, store, buckets); err != nil {
 			return probeMessage{gate: ledger.ProbeFailed{RetryAfter: platform.RetryAfter(err)}, err: err}
 		}
-		return probeMessage{gate: ledger.ProbeDone{}}
+		return probeMessage{gate: ledger.ProbeSucceeded{}}
 	})
 }
 
@@ -87,12 +87,12 @@
 func writeBucket(ctx context.Context, store Store, i int, ifVersion uint64, value []byte) message {
 	version, err := store.Put(ctx, platformapi.KindLedger, bucketName(i), ifVersion, value)
 	if err == nil {
-		return callMessage{bucket: i, event: ledger.WriteDone{Version: version}, gate: ledger.CallDone{}}
+		return callMessage{bucket: i, event: ledger.WriteDone{Version: version}, gate: ledger.CallSucceeded{}}
 	}
 	var conflict *platform.ConflictError
 	var notFound *platform.NotFoundError
 	if errors.As(err, &conflict) || errors.As(err, &notFound) {
-		return callMessage{bucket: i, event: ledger.WriteConflict{}, gate: ledger.CallDone{}}
+		return callMessage{bucket: i, event: ledger.WriteConflict{}, gate: ledger.CallSucceeded{}}
 	}
 	wait := platform.RetryAfter(err)
 	if provablyWithoutEffect(err) {
--- a/entry/ledger/messages.go
+++ b/entry/ledger/messages.go
@@ -39,13 +39,13 @@
 	bucket int
 	event  ledger.Event
 	// gate tells the gate how the store answered; nil tells it nothing.
-	gate ledger.GateEvent
+	gate ledger.BreakerEvent
 	err  error
 }
 
 // probeMessage brings the end of a probe.
 type probeMessage struct {
-	gate ledger.GateEvent
+	gate ledger.BreakerEvent
 	err  error
 }
 
--- a/entry/ledger/runtime.go
+++ b/entry/ledger/runtime.go
@@ -17,7 +17,7 @@
 	log     *log.Logger
 	rng     *rand.Rand
 	buckets []*bucket // nil until first used
-	gate    *ledger.Gate
+	gate    *ledger.Breaker
 	gateAt  time.Time
 	// closed is the last word of the gate; new machines start with it.
 	closed  bool
@@ -37,7 +37,7 @@
 		log:     l.cfg.Logger.WithPrefix("ledger"),
 		rng:     rng,
 		buckets: make([]*bucket, l.cfg.Buckets),
-		gate:    ledger.NewGate(gateFailures, l.cfg.Bucket, rand.New(rand.NewPCG(rng.Uint64(), rng.Uint64()))),
+		gate:    ledger.NewBreaker(gateFailures, l.cfg.Bucket, rand.New(rand.NewPCG(rng.Uint64(), rng.Uint64()))),
 		closed:  true,
 		waiters: make(map[ledger.ClaimID]*waiter),
 		flushes: make(map[*flush]bool),
@@ -52,7 +52,7 @@
 	defer cancel()
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
-	r.toGate(ledger.GateTick{})
+	r.toGate(ledger.BreakerTick{})
 	for {
 		timer.Reset(r.untilWake(time.Now()))
 		select {
@@ -169,15 +169,15 @@
 }
 
 // toGate gives an event to the gate and does its actions.
-func (r *runtime) toGate(event ledger.GateEvent) {
+func (r *runtime) toGate(event ledger.BreakerEvent) {
 	for _, a := range r.gate.Handle(event, time.Now()) {
 		switch a := a.(type) {
-		case ledger.Close:
+		case ledger.RefuseClaims:
 			r.log.Warn("Claims are refused.", "retry_after", a.RetryAfter)
 			r.closed = true
 			r.closing = ledger.StoreDown(a)
 			r.each(r.closing)
-		case ledger.Open:
+		case ledger.AcceptClaims:
 			r.log.Info("Claims are taken.")
 			r.closed = false
 			r.each(ledger.StoreUp{})
@@ -187,7 +187,7 @@
 			}
 		case ledger.Probe:
 			r.startProbe()
-		case ledger.GateWakeAt:
+		case ledger.BreakerWakeAt:
 			r.gateAt = a.At
 		}
 	}
@@ -214,7 +214,7 @@
 func (r *runtime) tick(now time.Time) {
 	if !r.gateAt.IsZero() && !now.Before(r.gateAt) {
 		r.gateAt = time.Time{}
-		r.toGate(ledger.GateTick{})
+		r.toGate(ledger.BreakerTick{})
 	}
 	for i, b := range r.buckets {
 		if b != nil && !b.wakeAt.IsZero() && !now.Before(b.wakeAt) {
--- a/kernel/ledger/bucket_test.go
+++ b/kernel/ledger/bucket_test.go
@@ -101,7 +101,7 @@
 // A bucket that was seen long ago is read before it is written.
 func TestOldBucketIsReadFirst(t *testing.T) {
 	b := start(t)
-	b.now = b.now.Add(b.m.cfg.FreshFor + 1)
+	b.now = b.now.Add(b.m.cfg.MaxCacheAge + 1)
 	b.expect(b.claimOf(1, 1), Read{})
 	b.expect(ReadDone{Version: 9}, Write{})
 }
--- a/kernel/ledger/config.go
+++ b/kernel/ledger/config.go
@@ -15,10 +15,10 @@
 	MaxRecords int
 	// ClaimTimeout bounds how long a claim waits for its confirmation.
 	ClaimTimeout time.Duration
-	// FreshFor is how long a bucket as last seen is written on without a read.
+	// MaxCacheAge is how long a bucket as last seen is written on without a read.
 	// Later, another entry has probably written it: a read costs the store less
 	// than a write that conflicts.
-	FreshFor time.Duration
+	MaxCacheAge time.Duration
 	// CombineDelay is how long a result waits for a claim's write to ride along
 	// with; until then a resend elsewhere hears that the request is running.
 	CombineDelay time.Duration
@@ -27,23 +27,23 @@
 	ReleaseDelay time.Duration
 	// RetryMin and RetryMax bound the delay after a failed read or write.
 	RetryMin, RetryMax time.Duration
-	// UpSpread spreads background writes after an outage.
-	UpSpread time.Duration
+	// RecoveryJitter spreads background writes after an outage.
+	RecoveryJitter time.Duration
 }
 
 // DefaultConfig gives the usual limits.
 func DefaultConfig() Config {
 	return Config{
-		Retention:    time.Hour,
-		MaxClockSkew: 10 * time.Second,
-		MaxRecords:   15_000,
-		ClaimTimeout: 500 * time.Millisecond,
-		FreshFor:     20 * time.Millisecond,
-		CombineDelay: time.Second,
-		ReleaseDelay: 100 * time.Millisecond,
-		RetryMin:     50 * time.Millisecond,
-		RetryMax:     5 * time.Second,
-		UpSpread:     time.Second,
+		Retention:      time.Hour,
+		MaxClockSkew:   10 * time.Second,
+		MaxRecords:     15_000,
+		ClaimTimeout:   500 * time.Millisecond,
+		MaxCacheAge:    20 * time.Millisecond,
+		CombineDelay:   time.Second,
+		ReleaseDelay:   100 * time.Millisecond,
+		RetryMin:       50 * time.Millisecond,
+		RetryMax:       5 * time.Second,
+		RecoveryJitter: time.Second,
 	}
 }
 
@@ -58,7 +58,7 @@
 		return &ConfigError{Field: "max_records", Reason: "must be at least 1 and fit a value of the platform"}
 	case c.ClaimTimeout <= 0:
 		return &ConfigError{Field: "claim_timeout", Reason: "must be above zero"}
-	case c.FreshFor < 0:
+	case c.MaxCacheAge < 0:
 		return &ConfigError{Field: "fresh_for", Reason: "must not be negative"}
 	case c.CombineDelay < 0:
 		return &ConfigError{Field: "combine_delay", Reason: "must not be negative"}
@@ -66,7 +66,7 @@
 		return &ConfigError{Field: "release_delay", Reason: "must not be negative"}
 	case c.RetryMin <= 0 || c.RetryMax < c.RetryMin:
 		return &ConfigError{Field: "retry_max", Reason: "must be at least retry_min, which must be above zero"}
-	case c.UpSpread < 0:
+	case c.RecoveryJitter < 0:
 		return &ConfigError{Field: "up_spread", Reason: "must not be negative"}
 	}
 	return nil
--- a/kernel/ledger/errors.go
+++ b/kernel/ledger/errors.go
@@ -3,10 +3,10 @@
 import "fmt"
 
 // OutcomeError names a word that is no outcome.
-type OutcomeError struct{ Word string }
+type OutcomeError struct{ Text string }
 
 // Error implements error.
-func (e *OutcomeError) Error() string { return fmt.Sprintf("unknown outcome %q", e.Word) }
+func (e *OutcomeError) Error() string { return fmt.Sprintf("unknown outcome %q", e.Text) }
 
 // CodecError says why a bucket's value can't be read. Such a bucket takes no
 // claims: it is never taken for empty.
--- a/kernel/ledger/machine.go
+++ b/kernel/ledger/machine.go
@@ -285,7 +285,7 @@
 	m.retryAt = time.Time{}
 	m.backoff.Reset()
 	for _, c := range m.updates {
-		c.due = now.Add(spread(m.cfg.UpSpread, m.rng))
+		c.due = now.Add(spread(m.cfg.RecoveryJitter, m.rng))
 	}
 }
 
--- a/kernel/ledger/record.go
+++ b/kernel/ledger/record.go
@@ -75,7 +75,7 @@
 func ParseOutcome(s string) (Outcome, error) {
 	i := slices.Index(outcomeNames[:], s)
 	if i < int(OutcomeComplete) {
-		return 0, &OutcomeError{Word: s}
+		return 0, &OutcomeError{Text: s}
 	}
 	return Outcome(i), nil
 }
--- a/kernel/ledger/writes.go
+++ b/kernel/ledger/writes.go
@@ -41,7 +41,7 @@
 // needsRead tells whether the bucket must be read before it can be written, or
 // before a claim can be answered.
 func (m *Machine) needsRead(now time.Time) bool {
-	if !m.known || m.floor > m.version || m.recheck || now.Sub(m.seenAt) > m.cfg.FreshFor {
+	if !m.known || m.floor > m.version || m.recheck || now.Sub(m.seenAt) > m.cfg.MaxCacheAge {
 		return true
 	}
 	for _, c := range m.waiting {
