--- a/entry/hosted/city_test.go
+++ b/entry/hosted/city_test.go
@@ -173,7 +173,7 @@
 	n, err := New(Config{
 		Instance: name(i), Zone: fmt.Sprintf("z%d", i%c.zones), Peer: address(i), Seeds: seeds, FirstStart: first, Power: 1,
 		Source: storeOf{c.store, name(i)}, PeerKey: []byte("k"), NewLeaves: func(func(string)) Leaves { return noLeaves{} },
-		Tunables: Tunables{Bound: bound, Grace: time.Second, Catalog: catalog.Settings{Fresh: bound, LapseAfter: bound, ReturnWithin: time.Second, Retire: time.Second}},
+		Tunables: Tunables{Bound: bound, Grace: time.Second, Catalog: catalog.Settings{ConfigFreshFor: bound, EntryTTL: bound, ReregisterWithin: time.Second, DroppedSetRetention: time.Second}},
 		Log:      telemetry.Options{Level: "error", Format: "json"}, LogSink: io.Discard,
 	})
 	if err != nil {
--- a/entry/hosted/control.go
+++ b/entry/hosted/control.go
@@ -136,7 +136,7 @@
 			c.handle(message)
 		case now := <-tick.C:
 			c.meter(now)
-			if c.catalog.Tick(now) {
+			if c.catalog.Expire(now) {
 				c.publish()
 			}
 		}
@@ -153,7 +153,7 @@
 	c.meters.observe(state{
 		source: c.stateSource(), role: role.String(),
 		configAge: configAge.Seconds(), leavesAge: leavesAge.Seconds(), version: c.catalog.Version(),
-		leaves: c.catalog.Leaves(), slowLeaves: len(n.slow.Slow(now)), instances: look(n.fleet, (*fleet.Fleet).Size),
+		leaves: c.catalog.LeafCount(), slowLeaves: len(n.slow.Slow(now)), instances: look(n.fleet, (*fleet.Fleet).Size),
 		connections: open, dials: dials, running: n.executor.Running(), logDrops: n.log.Dropped(),
 		repeatsLeft: repeatsLeft, limitedShards: limited, forward: n.forwarder.ForwardDelay().Seconds(), gather: n.forwarder.GatherDelay().Seconds(),
 	})
@@ -166,7 +166,7 @@
 	switch m := message.(type) {
 	case configRead:
 		if m.config == nil {
-			c.catalog.ConfigMissing(m.began)
+			c.catalog.RecordConfigMissing(m.began)
 		} else {
 			changed = c.takeConfig(m.config, origin{began: m.began}, now)
 		}
@@ -180,7 +180,7 @@
 	case fleetResized:
 		changed = true
 	case leafGone:
-		if changed = c.catalog.MarkGone(m.id); changed {
+		if changed = c.catalog.MarkDraining(m.id); changed {
 			c.log.Info("leaf takes no more work", "leaf", m.id)
 		}
 	}
@@ -224,12 +224,12 @@
 // takeConfig puts a configuration into the catalog.
 func (c *control) takeConfig(cfg *catalog.Config, from origin, now time.Time) bool {
 	before := c.catalog.Version()
-	changed := c.catalog.ConfigRead(cfg, from.began, now)
+	changed := c.catalog.ApplyConfig(cfg, from.began, now)
 	if changed {
-		pairs := []any{"version", cfg.Version, "before", before, "routes", len(cfg.Routes), "changed", c.catalog.Changed(), "by_change", from.byChange}
+		pairs := []any{"version", cfg.Version, "before", before, "routes", len(cfg.Routes), "changed", c.catalog.ChangedRouteCount(), "by_change", from.byChange}
 		c.log.Info("configuration in force", append(pairs, from.pairs(now)...)...)
 	}
-	until := c.catalog.FreshUntil()
+	until := c.catalog.ConfigFreshUntil()
 	c.node.current.Store(&until)
 	return changed
 }
@@ -237,10 +237,10 @@
 // takeLeaves puts a list of leaves into the catalog.
 func (c *control) takeLeaves(list catalog.Listing, from origin, now time.Time) bool {
 	c.badLeaves.report(list.Bad)
-	before := c.catalog.Leaves()
-	changed := c.catalog.LeavesRead(list, from.began, now)
+	before := c.catalog.LeafCount()
+	changed := c.catalog.ApplyLeaves(list, from.began, now)
 	if changed {
-		pairs := []any{"revision", list.Revision, "bad", len(list.Bad), "leaves", c.catalog.Leaves(), "before", before}
+		pairs := []any{"revision", list.Revision, "bad", len(list.Bad), "leaves", c.catalog.LeafCount(), "before", before}
 		c.log.Info("leaves changed", append(pairs, from.pairs(now)...)...)
 	}
 	return changed
--- a/entry/hosted/forwarding/gather_test.go
+++ b/entry/hosted/forwarding/gather_test.go
@@ -109,8 +109,8 @@
 		shards = append(shards, name)
 		leaves = append(leaves, catalog.Leaf{ID: "leaf-" + name, Service: name, Address: "127.0.0.1:1", Zone: []string{"z", "y"}[i%2], Slots: 2})
 	}
-	c.ConfigRead(&catalog.Config{Version: version, Routes: []*catalog.Route{{Name: "r", Host: "h", Prefix: "/", Idempotent: true, Timeout: time.Minute, Shards: shards, TopK: 1}}}, now, now)
-	c.LeavesRead(catalog.Listing{Leaves: leaves, Revision: 1}, now, now)
+	c.ApplyConfig(&catalog.Config{Version: version, Routes: []*catalog.Route{{Name: "r", Host: "h", Prefix: "/", Idempotent: true, Timeout: time.Minute, Shards: shards, TopK: 1}}}, now, now)
+	c.ApplyLeaves(catalog.Listing{Leaves: leaves, Revision: 1}, now, now)
 	v := view.Build(version, "", c.Document(), c.Draining, func(*document.Upstream, string) int { return 1 })
 	r := large(t)
 	r.View, r.Service = v, v.Services["r"]
--- a/entry/hosted/forwarding/relay_test.go
+++ b/entry/hosted/forwarding/relay_test.go
@@ -120,8 +120,8 @@
 		shards = append(shards, string(rune('A'+i)))
 	}
 	c := catalog.New(catalog.Settings{})
-	c.ConfigRead(&catalog.Config{Version: 5, Routes: []*catalog.Route{{Name: "r", Host: "h", Prefix: "/", Idempotent: true, Timeout: time.Minute, Shards: shards, TopK: 1}}}, time.Now(), time.Now())
-	c.LeavesRead(catalog.Listing{Revision: 1}, time.Now(), time.Now())
+	c.ApplyConfig(&catalog.Config{Version: 5, Routes: []*catalog.Route{{Name: "r", Host: "h", Prefix: "/", Idempotent: true, Timeout: time.Minute, Shards: shards, TopK: 1}}}, time.Now(), time.Now())
+	c.ApplyLeaves(catalog.Listing{Revision: 1}, time.Now(), time.Now())
 	v := view.Build(5, "", c.Document(), c.Draining, func(*document.Upstream, string) int { return 1 })
 	return &executor.Request{
 		View: v, Service: v.Services["r"], Passed: &leafclient.Passed{ID: "q", Method: http.MethodGet, Target: "/x", Host: "h"},
--- a/entry/hosted/members.go
+++ b/entry/hosted/members.go
@@ -71,7 +71,7 @@
 
 // newMembers makes a fleet of one.
 func newMembers(n *Node) *members {
-	span := n.config.Tunables.Catalog.Repeats.Window
+	span := n.config.Tunables.Catalog.RepeatLimit.Window
 	self := fleet.Instance{Name: n.config.Instance, Zone: n.config.Zone, Peer: n.config.Peer, Power: n.config.Power, Mark: rand.Uint64()}
 	m := &members{
 		node: n, log: n.log.Part("fleet"), self: self, begun: time.Now(), known: make(chan struct{}),
--- a/entry/hosted/routes_bench_test.go
+++ b/entry/hosted/routes_bench_test.go
@@ -52,7 +52,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				revision++
-				leaf := catalog.Leaf{ID: "x", Service: "s", Address: "10.0.0.1:1", Zone: "z", Slots: 2, Born: int64(revision)}
+				leaf := catalog.Leaf{ID: "x", Service: "s", Address: "10.0.0.1:1", Zone: "z", Slots: 2, StartMillis: int64(revision)}
 				c.handle(leavesRead{list: catalog.Listing{Leaves: []catalog.Leaf{leaf}, Revision: revision}, began: time.Now()})
 			}
 		})
--- a/entry/hosted/statesync/config.go
+++ b/entry/hosted/statesync/config.go
@@ -54,7 +54,7 @@
 // packChange encodes what leads from one version to another; nil where that is no shorter than
 // all of it, or does not lead there.
 func packChange(from, to *catalog.Config) []byte {
-	change, ok := from.Change(to)
+	change, ok := from.Diff(to)
 	if !ok || float64(change.Size()) > maxChangedShare*float64(len(to.Routes)) {
 		return nil
 	}
--- a/entry/hosted/statesync/leaves.go
+++ b/entry/hosted/statesync/leaves.go
@@ -30,7 +30,7 @@
 func newLeafRecord(l *catalog.Leaf, now time.Time) leafRecord {
 	return leafRecord{
 		ID: l.ID, Service: l.Service, Address: l.Address, Zone: l.Zone, Slots: l.Slots, Draining: l.Draining,
-		WarmLeft: max(l.WarmAt.Sub(now), 0), Born: l.Born, Sequence: l.Sequence, Revision: l.Revision, Restarts: l.Restarts,
+		WarmLeft: max(l.WarmUpEnd.Sub(now), 0), Born: l.StartMillis, Sequence: l.Sequence, Revision: l.Revision, Restarts: l.Restarts,
 	}
 }
 
@@ -38,7 +38,7 @@
 func (n *leafRecord) leaf(now time.Time) catalog.Leaf {
 	return catalog.Leaf{
 		ID: n.ID, Service: n.Service, Address: n.Address, Zone: n.Zone, Slots: n.Slots, Draining: n.Draining,
-		WarmAt: now.Add(n.WarmLeft), Born: n.Born, Sequence: n.Sequence, Revision: n.Revision, Restarts: n.Restarts,
+		WarmUpEnd: now.Add(n.WarmLeft), StartMillis: n.Born, Sequence: n.Sequence, Revision: n.Revision, Restarts: n.Restarts,
 	}
 }
 
@@ -58,10 +58,10 @@
 		return catalog.Leaf{ID: n.ID}, &catalog.BadEntry{Name: n.ID, Revision: n.Revision, Reason: "sent by a peer: " + err.Error()}
 	}
 	l := n.leaf(now)
-	if n.WarmLeft < 0 || n.WarmLeft > catalog.LongestWarmUp {
+	if n.WarmLeft < 0 || n.WarmLeft > catalog.MaxWarmUp {
 		return l, &catalog.BadEntry{Name: n.ID, Revision: n.Revision, Field: "warm_left", Reason: "out of range"}
 	}
-	return l, l.Check()
+	return l, l.Validate()
 }
 
 // pastList is a list that was sent before, and what leads from it to the present one.
@@ -138,7 +138,7 @@
 		next[l.ID] = receivedLeaf{l, bad}
 	}
 	list.Leaves, list.Bad = splitBad(next)
-	if len(list.Bad) == 0 && catalog.HashOf(list.Leaves) != n.Hash {
+	if len(list.Bad) == 0 && catalog.HashLeaves(list.Leaves) != n.Hash {
 		return list, false, errOtherList
 	}
 	t.hash, t.list = n.Hash, next
--- a/entry/hosted/statesync/state.go
+++ b/entry/hosted/statesync/state.go
@@ -24,7 +24,7 @@
 // State is what this instance sends to others of configuration and leaves. It is immutable.
 type State struct {
 	// Known says how new it is.
-	Known  catalog.Known
+	Known  catalog.LastReads
 	config *configState // nil while there is no configuration
 	hash   uint64
 	list   map[string]leafRecord // by ID
@@ -62,15 +62,15 @@
 
 // New encodes the catalog, from what was encoded before where it has not changed.
 func New(c *catalog.Catalog, before *State, now time.Time) (*State, error) {
-	next := &State{Known: c.Known()}
+	next := &State{Known: c.LastReads()}
 	if before != nil {
 		next.config = before.config
 	}
 	if next.Config() != c.Config() {
 		next.config = newConfigState(c.Config(), next.config)
 	}
-	list := c.List()
-	next.hash = catalog.HashOf(list)
+	list := c.ListedLeaves()
+	next.hash = catalog.HashLeaves(list)
 	if before != nil && before.hash == next.hash {
 		next.list, next.leaves, next.past = before.list, before.leaves, before.past
 		return next, nil
--- a/entry/hosted/statesync/state_test.go
+++ b/entry/hosted/statesync/state_test.go
@@ -19,15 +19,15 @@
 func listedLeaf(i int) catalog.Leaf {
 	return catalog.Leaf{
 		ID: fmt.Sprintf("i-%010x", i*7919), Service: fmt.Sprintf("service%03d", i/3), Address: fmt.Sprintf("10.1.%d.%d:8568", i/250, 1+i%250),
-		Zone: "a", Slots: 2, Sequence: int64(i), Revision: uint64(1000 + i), Born: 1_700_000_000_000 + int64(i),
+		Zone: "a", Slots: 2, Sequence: int64(i), Revision: uint64(1000 + i), StartMillis: 1_700_000_000_000 + int64(i),
 	}
 }
 
 // catalogOf is a catalog that has read a list.
 func catalogOf(revision uint64, leaves ...catalog.Leaf) *catalog.Catalog {
 	c := catalog.New(catalog.Settings{})
-	c.ConfigRead(&catalog.Config{Version: 3, Routes: slices.Repeat([]*catalog.Route{{}}, 400)}, listStart, listStart)
-	c.LeavesRead(catalog.Listing{Leaves: leaves, Revision: revision}, listStart, listStart)
+	c.ApplyConfig(&catalog.Config{Version: 3, Routes: slices.Repeat([]*catalog.Route{{}}, 400)}, listStart, listStart)
+	c.ApplyLeaves(catalog.Listing{Leaves: leaves, Revision: revision}, listStart, listStart)
 	return c
 }
 
@@ -82,7 +82,7 @@
 				case rapid.Bool().Draw(t, "goes"):
 					delete(leaves, i)
 				default:
-					l.Draining, l.Born = !l.Draining, l.Born+1
+					l.Draining, l.StartMillis = !l.Draining, l.StartMillis+1
 					leaves[i] = l
 				}
 			}
@@ -105,7 +105,7 @@
 			if err != nil || differs != (n.Leaves != nil) {
 				t.Fatalf("differs %v, error %v", differs, err)
 			}
-			if differs && (len(list.Leaves) != len(leaves) || catalog.HashOf(list.Leaves) != state.hash) {
+			if differs && (len(list.Leaves) != len(leaves) || catalog.HashLeaves(list.Leaves) != state.hash) {
 				t.Fatalf("has %d leaves, want %d", len(list.Leaves), len(leaves))
 			}
 		}
--- a/entry/hosted/sync.go
+++ b/entry/hosted/sync.go
@@ -160,7 +160,7 @@
 	if u.Config != nil {
 		changed = c.takeConfig(u.Config, configFrom, now)
 	} else if u.Version == 0 {
-		c.catalog.ConfigMissing(u.ConfigAt)
+		c.catalog.RecordConfigMissing(u.ConfigAt)
 	} else if u.Version == c.catalog.Version() {
 		changed = c.takeConfig(c.catalog.Config(), configFrom, now)
 	}
@@ -168,7 +168,7 @@
 	case u.Differs:
 		return c.takeLeaves(u.List, leavesFrom, now) || changed
 	case m.base == c.storeLists.Load():
-		return c.catalog.LeavesConfirmed(u.List.Revision, u.LeavesAt) || changed
+		return c.catalog.ConfirmLeaves(u.List.Revision, u.LeavesAt) || changed
 	default: // the list in force is another by now
 		return changed
 	}
--- a/kernel/catalog/build.go
+++ b/kernel/catalog/build.go
@@ -55,7 +55,7 @@
 	}
 	for name, u := range c.compiled.upstreams {
 		if _, ok := next.upstreams[name]; !ok {
-			c.retired[name] = retiredSet{upstream: u, until: now.Add(c.settings.Retire)}
+			c.retired[name] = retiredSet{upstream: u, until: now.Add(c.settings.DroppedSetRetention)}
 		}
 	}
 	for name := range next.upstreams {
@@ -158,7 +158,7 @@
 
 // buildUpstream makes shard i of n cover key i of n.
 func (c *Catalog) buildUpstream(u upstream, leaves map[string][]document.Leaf) document.Upstream {
-	repeats := c.settings.Repeats
+	repeats := c.settings.RepeatLimit
 	out := document.Upstream{
 		Name: u.name, KeySpace: uint64(len(u.services)), ConnectionLimit: u.connections,
 		DialCost: c.settings.DialCost, Repeats: &repeats,
--- a/kernel/catalog/catalog.go
+++ b/kernel/catalog/catalog.go
@@ -18,20 +18,20 @@
 
 // Settings are the times that the catalog works with.
 type Settings struct {
-	// LapseAfter is the silence after which the store may drop a leaf's entry.
+	// EntryTTL is the silence after which the store may drop a leaf's entry.
 	// An outage that lasted shorter drops no entry of a leaf that lives.
-	LapseAfter time.Duration
-	// ReturnWithin is how long after an outage the entries that lapsed in it
+	EntryTTL time.Duration
+	// ReregisterWithin is how long after an outage the entries that lapsed in it
 	// take to come back.
-	ReturnWithin time.Duration
-	// Retire is how long a set of shards is kept after the configuration has
+	ReregisterWithin time.Duration
+	// DroppedSetRetention is how long a set of shards is kept after the configuration has
 	// dropped it. It is at least the longest time of a query.
-	Retire time.Duration
-	// Fresh is how old the last read of the configuration may be for its word
+	DroppedSetRetention time.Duration
+	// ConfigFreshFor is how old the last read of the configuration may be for its word
 	// on an unknown route to count.
-	Fresh time.Duration
-	// Repeats bounds the extra arrivals at each service.
-	Repeats document.RepeatLimit
+	ConfigFreshFor time.Duration
+	// RepeatLimit bounds the extra arrivals at each service.
+	RepeatLimit document.RepeatLimit
 	// DialCost is the usual time of a new connection to a leaf.
 	DialCost time.Duration
 }
@@ -98,57 +98,57 @@
 	return c.config.Limits
 }
 
-// ConfigRead takes a configuration whose read began at the given time. Only a
+// ApplyConfig takes a configuration whose read began at the given time. Only a
 // higher version comes into force. It reports whether anything changed.
-func (c *Catalog) ConfigRead(cfg *Config, began, now time.Time) bool {
+func (c *Catalog) ApplyConfig(cfg *Config, began, now time.Time) bool {
 	if began.After(c.configAt) {
 		c.configAt = began
 	}
 	if c.config != nil && cfg.Version <= c.config.Version {
 		return false
 	}
-	cfg = c.config.Sharing(cfg)
+	cfg = c.config.ReuseRoutes(cfg)
 	next := compile(cfg, c.compiled)
 	c.retire(next, now)
 	c.config, c.compiled = cfg, next
 	return true
 }
 
-// Changed returns the number of routes that differ from the previous configuration.
-func (c *Catalog) Changed() int { return c.compiled.resolved }
+// ChangedRouteCount returns the number of routes that differ from the previous configuration.
+func (c *Catalog) ChangedRouteCount() int { return c.compiled.resolved }
 
-// ConfigMissing notes that there was no configuration at a read that began at the
+// RecordConfigMissing notes that there was no configuration at a read that began at the
 // given time.
-func (c *Catalog) ConfigMissing(began time.Time) {
+func (c *Catalog) RecordConfigMissing(began time.Time) {
 	if c.config == nil && began.After(c.configAt) {
 		c.configAt = began
 	}
 }
 
-// FreshUntil is until when the configuration in force may be taken for the
+// ConfigFreshUntil is until when the configuration in force may be taken for the
 // newest: an unknown route does not exist.
-func (c *Catalog) FreshUntil() time.Time { return c.configAt.Add(c.settings.Fresh) }
+func (c *Catalog) ConfigFreshUntil() time.Time { return c.configAt.Add(c.settings.ConfigFreshFor) }
 
-// Known says how new what is in force is.
-type Known struct {
+// LastReads says how new what is in force is.
+type LastReads struct {
 	// ConfigAt and LeavesAt are when the last good reads began; zero for never.
 	ConfigAt, LeavesAt time.Time
 	// Revision is the store's at the last read of the leaves.
 	Revision uint64
 }
 
-// Known returns the times of the last good reads.
-func (c *Catalog) Known() Known {
-	return Known{ConfigAt: c.configAt, LeavesAt: c.listedAt, Revision: c.revision}
+// LastReads returns the times of the last good reads.
+func (c *Catalog) LastReads() LastReads {
+	return LastReads{ConfigAt: c.configAt, LeavesAt: c.listedAt, Revision: c.revision}
 }
 
 // Config is the configuration in force, or nil. It must not be changed.
 func (c *Catalog) Config() *Config { return c.config }
 
-// List returns the leaves of the last list in the order of their IDs, without
+// ListedLeaves returns the leaves of the last list in the order of their IDs, without
 // those that are held: whoever receives them decides that by its own gap. Entries
 // in doubt are sent as they were read, for the same reason.
-func (c *Catalog) List() []Leaf {
+func (c *Catalog) ListedLeaves() []Leaf {
 	out := sorted(c.listed)
 	for i := range out {
 		if d, ok := c.doubts[out[i].ID]; ok {
@@ -158,9 +158,9 @@
 	return out
 }
 
-// MarkGone takes the sign of a leaf, by its incarnation, that it takes no more work.
+// MarkDraining takes the sign of a leaf, by its incarnation, that it takes no more work.
 // It reports whether that changes anything.
-func (c *Catalog) MarkGone(incarnation string) bool {
+func (c *Catalog) MarkDraining(incarnation string) bool {
 	id, ok := c.byIncarnation[incarnation]
 	if !ok {
 		return false
@@ -178,17 +178,17 @@
 	return true
 }
 
-// Tick drops retired sets and held leaves whose time is over. It reports whether
+// Expire drops retired sets and held leaves whose time is over. It reports whether
 // any was.
-func (c *Catalog) Tick(now time.Time) bool {
+func (c *Catalog) Expire(now time.Time) bool {
 	sets, held := len(c.retired), len(c.held)
 	maps.DeleteFunc(c.retired, func(_ string, r retiredSet) bool { return !now.Before(r.until) })
 	c.release(now)
 	return len(c.retired) != sets || len(c.held) != held
 }
 
-// Leaves is the number of leaves in force.
-func (c *Catalog) Leaves() int { return len(c.listed) + len(c.held) }
+// LeafCount is the number of leaves in force.
+func (c *Catalog) LeafCount() int { return len(c.listed) + len(c.held) }
 
 // byService lists the leaves of each service, in the order of their IDs.
 func (c *Catalog) byService() map[string][]document.Leaf {
--- a/kernel/catalog/catalog_test.go
+++ b/kernel/catalog/catalog_test.go
@@ -11,9 +11,9 @@
 
 // testSettings are the times of the tests.
 var testSettings = Settings{
-	LapseAfter: 2400 * time.Millisecond, ReturnWithin: 2 * time.Second, Retire: 5 * time.Second,
-	Fresh: 2 * time.Second, DialCost: 6 * time.Millisecond,
-	Repeats: document.RepeatLimit{Ratio: 0.2, Slack: 56, Window: 10 * time.Second},
+	EntryTTL: 2400 * time.Millisecond, ReregisterWithin: 2 * time.Second, DroppedSetRetention: 5 * time.Second,
+	ConfigFreshFor: 2 * time.Second, DialCost: 6 * time.Millisecond,
+	RepeatLimit: document.RepeatLimit{Ratio: 0.2, Slack: 56, Window: 10 * time.Second},
 }
 
 // config returns a configuration whose one route asks the given shards.
@@ -27,7 +27,7 @@
 func TestVersionNeverGoesBack(t *testing.T) {
 	c := New(testSettings)
 	for _, tc := range []struct{ read, want uint64 }{{7, 7}, {5, 7}, {7, 7}, {9, 9}, {8, 9}} {
-		c.ConfigRead(config(tc.read, "a"), start, start)
+		c.ApplyConfig(config(tc.read, "a"), start, start)
 		if c.Version() != tc.want {
 			t.Fatalf("after version %d: %d in force, want %d", tc.read, c.Version(), tc.want)
 		}
@@ -37,14 +37,14 @@
 // TestOldListIsDropped shows an older list after one in which a leaf drained.
 func TestOldListIsDropped(t *testing.T) {
 	c := New(testSettings)
-	c.LeavesRead(Listing{Leaves: []Leaf{{ID: "x", Service: "a", Draining: true}}, Revision: 20}, start, start)
-	if c.LeavesRead(Listing{Leaves: []Leaf{{ID: "x", Service: "a"}, {ID: "y", Service: "a"}}, Revision: 15}, start, start) {
+	c.ApplyLeaves(Listing{Leaves: []Leaf{{ID: "x", Service: "a", Draining: true}}, Revision: 20}, start, start)
+	if c.ApplyLeaves(Listing{Leaves: []Leaf{{ID: "x", Service: "a"}, {ID: "y", Service: "a"}}, Revision: 15}, start, start) {
 		t.Error("an older list counted as news")
 	}
-	if !c.Draining("x") || c.Leaves() != 1 {
+	if !c.Draining("x") || c.LeafCount() != 1 {
 		t.Error("an older list took a drain back")
 	}
-	c.LeavesRead(Listing{Leaves: []Leaf{{ID: "x", Service: "a"}}, Revision: 21}, start, start)
+	c.ApplyLeaves(Listing{Leaves: []Leaf{{ID: "x", Service: "a"}}, Revision: 21}, start, start)
 	if !c.Draining("x") {
 		t.Error("a drain was taken back within one incarnation")
 	}
@@ -55,9 +55,9 @@
 func TestOlderReadOfTheSameRevisionDoesNotAgeTheList(t *testing.T) {
 	c := New(testSettings)
 	list := Listing{Leaves: []Leaf{{ID: "x", Service: "a"}}, Revision: 20}
-	c.LeavesRead(list, start, start)
-	c.LeavesRead(list, start.Add(-3*time.Second), start)
-	if at := c.Known().LeavesAt; !at.Equal(start) {
+	c.ApplyLeaves(list, start, start)
+	c.ApplyLeaves(list, start.Add(-3*time.Second), start)
+	if at := c.LastReads().LeavesAt; !at.Equal(start) {
 		t.Errorf("the list is of a read %v earlier than the one that showed it", start.Sub(at))
 	}
 }
@@ -75,15 +75,15 @@
 		{"without one", time.Second, false},
 	} {
 		c := New(testSettings)
-		c.LeavesRead(Listing{Leaves: both, Revision: 1}, start, start)
+		c.ApplyLeaves(Listing{Leaves: both, Revision: 1}, start, start)
 		back := start.Add(tc.outage)
-		c.LeavesRead(Listing{Leaves: both[:1], Revision: 2}, back, back)
-		if got := c.Leaves() == 2; got != tc.kept {
+		c.ApplyLeaves(Listing{Leaves: both[:1], Revision: 2}, back, back)
+		if got := c.LeafCount() == 2; got != tc.kept {
 			t.Errorf("%s: missing entry kept: %v, want %v", tc.name, got, tc.kept)
 		}
-		late := back.Add(testSettings.ReturnWithin)
-		c.LeavesRead(Listing{Leaves: both[:1], Revision: 3}, late, late)
-		if c.Leaves() != 1 {
+		late := back.Add(testSettings.ReregisterWithin)
+		c.ApplyLeaves(Listing{Leaves: both[:1], Revision: 3}, late, late)
+		if c.LeafCount() != 1 {
 			t.Errorf("%s: an entry that did not return is still there", tc.name)
 		}
 	}
@@ -93,11 +93,11 @@
 // what the catalog still lacked.
 func TestFirstListIsAChange(t *testing.T) {
 	c := New(testSettings)
-	c.ConfigRead(config(1, "a"), start, start)
-	if c.Ready() || !c.LeavesRead(Listing{Leaves: nil, Revision: 1}, start, start) || !c.Ready() {
+	c.ApplyConfig(config(1, "a"), start, start)
+	if c.Ready() || !c.ApplyLeaves(Listing{Leaves: nil, Revision: 1}, start, start) || !c.Ready() {
 		t.Error("an empty first list is no change, or the catalog is not ready after it")
 	}
-	if c.LeavesRead(Listing{Leaves: nil, Revision: 2}, start, start) {
+	if c.ApplyLeaves(Listing{Leaves: nil, Revision: 2}, start, start) {
 		t.Error("the same list again is a change")
 	}
 }
@@ -107,11 +107,11 @@
 func TestLeafThatLeavesAfterAnOutage(t *testing.T) {
 	both := []Leaf{{ID: "x", Service: "a"}, {ID: "y", Service: "a"}}
 	c := New(testSettings)
-	c.LeavesRead(Listing{Leaves: both, Revision: 1}, start, start)
+	c.ApplyLeaves(Listing{Leaves: both, Revision: 1}, start, start)
 	back := start.Add(8 * time.Second)
-	c.LeavesRead(Listing{Leaves: both, Revision: 2}, back, back)
+	c.ApplyLeaves(Listing{Leaves: both, Revision: 2}, back, back)
 	next := back.Add(time.Second)
-	if !c.LeavesRead(Listing{Leaves: both[:1], Revision: 3}, next, next) || c.Leaves() != 1 {
+	if !c.ApplyLeaves(Listing{Leaves: both[:1], Revision: 3}, next, next) || c.LeafCount() != 1 {
 		t.Error("a leaf that left after the outage is held as one that lapsed in it")
 	}
 }
@@ -120,13 +120,13 @@
 func TestHeldLeavesAreNotTold(t *testing.T) {
 	both := []Leaf{{ID: "x", Service: "a"}, {ID: "y", Service: "a"}}
 	c := New(testSettings)
-	c.LeavesRead(Listing{Leaves: both, Revision: 1}, start, start)
+	c.ApplyLeaves(Listing{Leaves: both, Revision: 1}, start, start)
 	back := start.Add(8 * time.Second)
-	c.LeavesRead(Listing{Leaves: both[:1], Revision: 2}, back, back)
-	if c.Leaves() != 2 || len(c.List()) != 1 {
-		t.Errorf("%d leaves in force and %d told, want 2 and 1", c.Leaves(), len(c.List()))
+	c.ApplyLeaves(Listing{Leaves: both[:1], Revision: 2}, back, back)
+	if c.LeafCount() != 2 || len(c.ListedLeaves()) != 1 {
+		t.Errorf("%d leaves in force and %d told, want 2 and 1", c.LeafCount(), len(c.ListedLeaves()))
 	}
-	if !c.Tick(back.Add(testSettings.ReturnWithin)) || c.Leaves() != 1 {
+	if !c.Expire(back.Add(testSettings.ReregisterWithin)) || c.LeafCount() != 1 {
 		t.Error("the held leaf is still there after its time")
 	}
 }
@@ -134,16 +134,16 @@
 // TestSetIsKeptForQueriesInFlight cuts the index into another set.
 func TestSetIsKeptForQueriesInFlight(t *testing.T) {
 	c := New(testSettings)
-	c.LeavesRead(Listing{Leaves: nil, Revision: 1}, start, start)
-	c.ConfigRead(config(1, "a", "b"), start, start)
-	c.ConfigRead(config(2, "c", "d", "e"), start, start)
+	c.ApplyLeaves(Listing{Leaves: nil, Revision: 1}, start, start)
+	c.ApplyConfig(config(1, "a", "b"), start, start)
+	c.ApplyConfig(config(2, "c", "d", "e"), start, start)
 	if n := len(c.Document().Upstreams); n != 2 {
 		t.Fatalf("%d upstreams after the change, want the new set and the old one", n)
 	}
-	if c.Tick(start.Add(4 * time.Second)) {
+	if c.Expire(start.Add(4 * time.Second)) {
 		t.Error("the old set was dropped while its queries may run")
 	}
-	if !c.Tick(start.Add(5*time.Second)) || len(c.Document().Upstreams) != 1 {
+	if !c.Expire(start.Add(5*time.Second)) || len(c.Document().Upstreams) != 1 {
 		t.Error("the old set is still there after its time")
 	}
 }
@@ -157,8 +157,8 @@
 		Name: "file", Host: "a", Prefix: "/f/", Timeout: time.Second,
 		Targets: []document.RouteTarget{{Service: "p", Weight: 3}, {Service: "q", Weight: 1}},
 	})
-	c.ConfigRead(cfg, start, start)
-	c.LeavesRead(Listing{Leaves: []Leaf{{ID: "z", Service: "b", Address: "10.0.0.1:1", Zone: "hall-a"}, {ID: "p1", Service: "p"}}, Revision: 1}, start, start)
+	c.ApplyConfig(cfg, start, start)
+	c.ApplyLeaves(Listing{Leaves: []Leaf{{ID: "z", Service: "b", Address: "10.0.0.1:1", Zone: "hall-a"}, {ID: "p1", Service: "p"}}, Revision: 1}, start, start)
 	doc := c.Document()
 	var set *document.Upstream
 	for i := range doc.Upstreams {
--- a/kernel/catalog/change.go
+++ b/kernel/catalog/change.go
@@ -34,9 +34,9 @@
 // Size returns the number of routes changed, added and removed.
 func (c *ConfigChange) Size() int { return len(c.Routes) + len(c.New) + len(c.GoneRoutes) }
 
-// Change computes the change to another version; ok is false if Apply does not yield that version,
+// Diff computes the change to another version; ok is false if Apply does not yield that version,
 // as after a change of the routes' order.
-func (c *Config) Change(to *Config) (change *ConfigChange, ok bool) {
+func (c *Config) Diff(to *Config) (change *ConfigChange, ok bool) {
 	out := &ConfigChange{Version: to.Version, Limits: to.Limits, Services: make(map[string]Service)}
 	before := newAlignment(c.Routes)
 	for i, r := range to.Routes {
@@ -121,13 +121,13 @@
 	return slices.Compact(out)
 }
 
-// Sharing returns the next version with the equal routes of this one, which may be nil, in place of
+// ReuseRoutes returns the next version with the equal routes of this one, which may be nil, in place of
 // its own copies.
-func (c *Config) Sharing(next *Config) *Config {
+func (c *Config) ReuseRoutes(next *Config) *Config {
 	if c == nil || c.shares(next) {
 		return next
 	}
-	if change, ok := c.Change(next); ok {
+	if change, ok := c.Diff(next); ok {
 		return c.Apply(change)
 	}
 	return next
--- a/kernel/catalog/change_test.go
+++ b/kernel/catalog/change_test.go
@@ -62,7 +62,7 @@
 		config := &Config{}
 		for range rapid.IntRange(1, 8).Draw(t, "versions") {
 			next := drawVersion(t, config)
-			change, ok := config.Change(next)
+			change, ok := config.Diff(next)
 			got := config.Apply(change)
 			if same := sameConfig(got, next); ok != same {
 				t.Fatalf("the change is offered: %v, it leads to the version: %v\n%+v\n%+v", ok, same, got, next)
@@ -94,7 +94,7 @@
 			after.Routes = append(after.Routes, r())
 		}
 	}
-	change, ok := before.Change(after)
+	change, ok := before.Diff(after)
 	if !ok || len(change.New) != 5 || len(change.Routes) != 0 || len(change.GoneRoutes) != 40 {
 		t.Errorf("ok %v, %d new, %d differ, %d gone", ok, len(change.New), len(change.Routes), len(change.GoneRoutes))
 	}
@@ -110,7 +110,7 @@
 		before.Routes = append(before.Routes, &Route{Name: fmt.Sprint(i), Prefix: fmt.Sprintf("/%d/", i)})
 	}
 	after := before.Apply(&ConfigChange{Version: 2, Routes: []*Route{{Name: "7", Prefix: "/7/", Timeout: time.Second}}, GoneRoutes: []string{"9"}})
-	change, ok := before.Change(after)
+	change, ok := before.Diff(after)
 	if !ok || len(change.Routes) != 1 || len(change.GoneRoutes) != 1 || len(change.Services) != 0 || len(change.GoneServices) != 0 {
 		t.Errorf("ok %v, change %+v", ok, change)
 	}
--- a/kernel/catalog/incarnation.go
+++ b/kernel/catalog/incarnation.go
@@ -11,7 +11,7 @@
 // the one in force, in an entry that was written later, is either a write of the old
 // process that the store carried out late, or a new start of a leaf whose clock went
 // back. The next heartbeat of a leaf that lives replaces the first; the second stays.
-// So such an entry is in doubt until it has stood for Settings.LapseAfter. Until then
+// So such an entry is in doubt until it has stood for Settings.EntryTTL. Until then
 // the leaf in force stays in force, but gets no new work while the doubtful entry
 // drains: neither case may send work to a leaf that leaves, and neither loses the
 // leaf for longer than that time.
@@ -38,16 +38,16 @@
 	switch {
 	case l.Revision != 0 && l.Revision < old.Revision:
 		return staleEntry
-	case l.Born != old.Born && l.Born != 0 && old.Born != 0:
-		if l.Born < old.Born {
+	case l.StartMillis != old.StartMillis && l.StartMillis != 0 && old.StartMillis != 0:
+		if l.StartMillis < old.StartMillis {
 			return earlierBirth
 		}
 		return newStart
-	case l.Born != old.Born:
+	case l.StartMillis != old.StartMillis:
 		return newStart // it began, or ceased, to state its birth: another program
-	case l.Born == 0 && l.Sequence < old.Sequence && l.Revision > old.Revision:
+	case l.StartMillis == 0 && l.Sequence < old.Sequence && l.Revision > old.Revision:
 		return newStart
-	case l.Born == 0 && l.Restarts > old.Restarts:
+	case l.StartMillis == 0 && l.Restarts > old.Restarts:
 		return newStart // another instance saw it
 	default:
 		return sameStart
@@ -68,7 +68,7 @@
 	case earlierBirth:
 		return c.mergeDoubtful(old, l, began)
 	case newStart:
-		if l.Born == 0 {
+		if l.StartMillis == 0 {
 			l.Restarts = max(l.Restarts, old.Restarts+1) // as received, or counted here
 		}
 		delete(c.doubts, l.ID)
@@ -76,7 +76,7 @@
 	}
 	delete(c.doubts, l.ID)
 	l.Draining = l.Draining || old.Draining
-	l.WarmAt = old.WarmAt
+	l.WarmUpEnd = old.WarmUpEnd
 	l.Restarts = max(l.Restarts, old.Restarts)
 	return l
 }
@@ -85,10 +85,10 @@
 // enough.
 func (c *Catalog) mergeDoubtful(old, l Leaf, began time.Time) Leaf {
 	d, ok := c.doubts[l.ID]
-	if !ok || d.entry.Born != l.Born {
+	if !ok || d.entry.StartMillis != l.StartMillis {
 		d = doubt{since: began}
 	}
-	if began.Sub(d.since) >= c.settings.LapseAfter {
+	if began.Sub(d.since) >= c.settings.EntryTTL {
 		delete(c.doubts, l.ID)
 		return l
 	}
@@ -101,7 +101,7 @@
 // that found the list unchanged.
 func (c *Catalog) settleDoubts(began time.Time) (changed bool) {
 	for id, d := range c.doubts {
-		if began.Sub(d.since) >= c.settings.LapseAfter {
+		if began.Sub(d.since) >= c.settings.EntryTTL {
 			c.listed[id] = d.entry
 			delete(c.doubts, id)
 			changed = true
--- a/kernel/catalog/incarnation_test.go
+++ b/kernel/catalog/incarnation_test.go
@@ -20,13 +20,13 @@
 // list is the listing of a reading.
 func (r reading) list() Listing {
 	return Listing{Revision: r.revision, Leaves: []Leaf{{
-		ID: "x", Service: "a", Address: "10.0.0.1:1", Draining: r.draining, Born: r.born, Sequence: r.sequence, Revision: r.revision,
-		WarmAt: start.Add(r.at + 3*time.Second),
+		ID: "x", Service: "a", Address: "10.0.0.1:1", Draining: r.draining, StartMillis: r.born, Sequence: r.sequence, Revision: r.revision,
+		WarmUpEnd: start.Add(r.at + 3*time.Second),
 	}}}
 }
 
 // read feeds a reading to the catalog.
-func (r reading) read(c *Catalog) { c.LeavesRead(r.list(), start.Add(r.at), start.Add(r.at)) }
+func (r reading) read(c *Catalog) { c.ApplyLeaves(r.list(), start.Add(r.at), start.Add(r.at)) }
 
 // TestLeafStartsAgainUnderItsID plays readings of one ID and checks which start is in
 // force after them, and whether it gets new work.
@@ -61,7 +61,7 @@
 			for i, r := range tc.readings {
 				r.read(c)
 				if i == 0 && tc.gone != "" {
-					c.MarkGone(tc.gone)
+					c.MarkDraining(tc.gone)
 				}
 			}
 			leaves := c.byService()["a"]
@@ -71,8 +71,8 @@
 			if got := c.Draining(tc.want); got != tc.draining {
 				t.Errorf("draining: %v, want %v", got, tc.draining)
 			}
-			if l, _ := c.known("x"); tc.warmAt != 0 && !l.WarmAt.Equal(start.Add(tc.warmAt)) {
-				t.Errorf("warm at %v, want %v", l.WarmAt.Sub(start), tc.warmAt)
+			if l, _ := c.known("x"); tc.warmAt != 0 && !l.WarmUpEnd.Equal(start.Add(tc.warmAt)) {
+				t.Errorf("warm at %v, want %v", l.WarmUpEnd.Sub(start), tc.warmAt)
 			}
 		})
 	}
@@ -84,13 +84,13 @@
 	c := New(testSettings)
 	reading{0, 1, 200, 9, true}.read(c)
 	reading{time.Second, 2, 100, 1, false}.read(c)
-	if c.LeavesConfirmed(3, start.Add(2*time.Second)) || !c.Draining("x@200") {
+	if c.ConfirmLeaves(3, start.Add(2*time.Second)) || !c.Draining("x@200") {
 		t.Error("the doubtful entry is in force after a second")
 	}
-	if told := c.List(); len(told) != 1 || told[0].Born != 100 {
+	if told := c.ListedLeaves(); len(told) != 1 || told[0].StartMillis != 100 {
 		t.Errorf("told %+v, want the entry as it was read", told)
 	}
-	if !c.LeavesConfirmed(4, start.Add(4*time.Second)) || c.Draining("x@100") {
+	if !c.ConfirmLeaves(4, start.Add(4*time.Second)) || c.Draining("x@100") {
 		t.Error("the entry that stood is not in force")
 	}
 }
@@ -102,7 +102,7 @@
 	reading{0, 5, 200, 1, true}.read(c)
 	old := reading{time.Second, 4, 100, 9, false}.list()
 	old.Revision = 6
-	c.LeavesRead(old, start.Add(time.Second), start.Add(time.Second))
+	c.ApplyLeaves(old, start.Add(time.Second), start.Add(time.Second))
 	if !c.Draining("x@200") {
 		t.Error("an entry that was written earlier is in force")
 	}
@@ -114,8 +114,8 @@
 	c := New(testSettings)
 	reading{0, 1, 100, 9, true}.read(c)
 	back := start.Add(8 * time.Second)
-	c.LeavesRead(Listing{Revision: 2}, back, back)
-	if c.Leaves() != 1 || !c.Draining("x@100") {
+	c.ApplyLeaves(Listing{Revision: 2}, back, back)
+	if c.LeafCount() != 1 || !c.Draining("x@100") {
 		t.Fatal("the lapsed entry is not held")
 	}
 	reading{9 * time.Second, 3, 200, 1, false}.read(c)
@@ -131,8 +131,8 @@
 		c := New(testSettings)
 		reading{0, 1, 100, 9, true}.read(c)
 		at := start.Add(outage)
-		c.LeavesRead(Listing{Revision: 2, Bad: []BadEntry{{Name: "x"}}}, at, at)
-		if c.Leaves() != 0 {
+		c.ApplyLeaves(Listing{Revision: 2, Bad: []BadEntry{{Name: "x"}}}, at, at)
+		if c.LeafCount() != 0 {
 			t.Errorf("outage of %v: the leaf of a bad entry is held", outage)
 		}
 		reading{outage + time.Second, 3, 100, 10, false}.read(c)
@@ -172,7 +172,7 @@
 			now.sequence++
 			write(now)
 			r := written[rapid.IntRange(0, len(written)-1).Draw(t, "read")]
-			c.LeavesRead(r.list(), start.Add(at), start.Add(at))
+			c.ApplyLeaves(r.list(), start.Add(at), start.Add(at))
 		}
 		for range 8 {
 			at += 1200 * time.Millisecond
--- a/kernel/catalog/leaf.go
+++ b/kernel/catalog/leaf.go
@@ -25,12 +25,12 @@
 	// Slots is the number of requests that the leaf runs at once.
 	Slots    int
 	Draining bool
-	// WarmAt is when the leaf has got over its slow start; it may have passed.
-	WarmAt time.Time
-	// Born is the Unix millisecond of the leaf's start by its own clock; 0: the leaf
+	// WarmUpEnd is when the leaf has got over its slow start; it may have passed.
+	WarmUpEnd time.Time
+	// StartMillis is the Unix millisecond of the leaf's start by its own clock; 0: the leaf
 	// does not say. It is compared with other births of the same ID only, never with
 	// the clock of this instance.
-	Born int64
+	StartMillis int64
 	// Sequence counts the leaf's heartbeats since its start.
 	Sequence int64
 	// Revision is the store's revision at the last change of the entry; 0: unknown.
@@ -44,8 +44,8 @@
 // restarts where there is one.
 func (l *Leaf) Incarnation() string {
 	switch {
-	case l.Born != 0:
-		return l.ID + "@" + strconv.FormatInt(l.Born, 10)
+	case l.StartMillis != 0:
+		return l.ID + "@" + strconv.FormatInt(l.StartMillis, 10)
 	case l.Restarts != 0:
 		return l.ID + "+" + strconv.Itoa(l.Restarts)
 	default:
@@ -80,15 +80,15 @@
 const (
 	// longestName bounds names, in bytes. They appear in headers and log lines.
 	longestName = 253
-	// MostSlots bounds the requests that a leaf runs at once.
-	MostSlots = 1 << 20
-	// LongestWarmUp bounds a slow start.
-	LongestWarmUp = 24 * time.Hour
+	// MaxSlots bounds the requests that a leaf runs at once.
+	MaxSlots = 1 << 20
+	// MaxWarmUp bounds a slow start.
+	MaxWarmUp = 24 * time.Hour
 )
 
-// Check returns a *BadEntry for the first field with a value that no leaf can have,
+// Validate returns a *BadEntry for the first field with a value that no leaf can have,
 // or nil.
-func (l *Leaf) Check() *BadEntry {
+func (l *Leaf) Validate() *BadEntry {
 	switch {
 	case !validToken(l.ID):
 		return l.bad("id", "not a printable name")
@@ -98,11 +98,11 @@
 		return l.bad("zone", "not a printable name")
 	case !ValidAddress(l.Address):
 		return l.bad("address", "not an IP address with a port")
-	case l.Slots < 1 || l.Slots > MostSlots:
+	case l.Slots < 1 || l.Slots > MaxSlots:
 		return l.bad("slots", "out of range")
 	case l.Sequence < 0:
 		return l.bad("sequence", "negative")
-	case l.Born < 0:
+	case l.StartMillis < 0:
 		return l.bad("born", "negative")
 	}
 	return nil
@@ -152,8 +152,8 @@
 	return out
 }
 
-// HashOf is a hash of what a list of leaves means to routing; never 0.
-func HashOf(list []Leaf) uint64 {
+// HashLeaves is a hash of what a list of leaves means to routing; never 0.
+func HashLeaves(list []Leaf) uint64 {
 	h := xxhash.New()
 	var buf []byte
 	for i := range list {
--- a/kernel/catalog/list.go
+++ b/kernel/catalog/list.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Sees reports whether a list at the revision is new.
+// sees reports whether a list at the revision is new.
 func (c *Catalog) sees(revision uint64) bool { return !c.hasList || revision >= c.revision }
 
-// LeavesRead takes the whole list of leaves at a revision of the store. A list
+// ApplyLeaves takes the whole list of leaves at a revision of the store. A list
 // older than one taken before is dropped, also one of the same revision from an earlier read:
 // what was seen leaving stays so, and the list does not age. It
 // reports whether anything changed; the first list is a change, also an empty one.
@@ -19,7 +19,7 @@
 // work for as long. A leaf whose entry is there and bad is not held either: whoever
 // overwrote the entry may have taken the leaf's place, and if the leaf lives its next
 // heartbeat brings it back.
-func (c *Catalog) LeavesRead(list Listing, began, now time.Time) bool {
+func (c *Catalog) ApplyLeaves(list Listing, began, now time.Time) bool {
 	if !c.sees(list.Revision) || c.hasList && list.Revision == c.revision && began.Before(c.listedAt) {
 		return false
 	}
@@ -30,12 +30,12 @@
 		next[l.ID] = c.merge(l, began)
 	}
 	c.remember(before, next, now)
-	if c.hasList && began.Sub(c.listedAt) >= c.settings.LapseAfter {
+	if c.hasList && began.Sub(c.listedAt) >= c.settings.EntryTTL {
 		c.held = missing(before, next)
 		for i := range list.Bad {
 			delete(c.held, list.Bad[i].Name)
 		}
-		c.heldUntil = now.Add(c.settings.ReturnWithin)
+		c.heldUntil = now.Add(c.settings.ReregisterWithin)
 	}
 	c.hasList, c.revision, c.listedAt = true, list.Revision, began
 	c.listed = next
@@ -110,9 +110,9 @@
 	return l, ok
 }
 
-// LeavesConfirmed notes that the list in force was still the newest at a read
+// ConfirmLeaves notes that the list in force was still the newest at a read
 // that began at the given time. It reports whether anything changed by that.
-func (c *Catalog) LeavesConfirmed(revision uint64, began time.Time) bool {
+func (c *Catalog) ConfirmLeaves(revision uint64, began time.Time) bool {
 	if !c.hasList || !c.sees(revision) || !began.After(c.listedAt) {
 		return false
 	}
