--- a/kernel/catalog/build.go
+++ b/kernel/catalog/build.go
@@ -13,154 +13,159 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/keyrange"
 )
 
-// upstream is a service that is asked alone, or a set that is asked together.
-type upstream struct {
+// upstreamSpec names the services that become the shards of one upstream: a single service, or a
+// set of services that a route queries together.
+type upstreamSpec struct {
 	name     string
 	services []string
-	// connections is the least connection limit of its services.
-	connections int
+	// connectionLimit is the smallest connection limit of the services.
+	connectionLimit int
 }
 
-// defaultConnections is the limit of a service that the configuration does not describe.
-const defaultConnections = 8
+// defaultConnectionLimit is the limit of a service that the configuration does not describe.
+const defaultConnectionLimit = 8
 
-// newUpstream makes an upstream of services that the configuration may describe.
-func newUpstream(name string, services []string, known map[string]Service) upstream {
-	u := upstream{services: services, name: name}
+// newUpstreamSpec returns the spec of an upstream. The described map holds the services that the
+// configuration describes, by name.
+func newUpstreamSpec(name string, services []string, described map[string]Service) upstreamSpec {
+	u := upstreamSpec{services: services, name: name}
 	for _, s := range services {
-		limit := known[s].ConnectionLimit
+		limit := described[s].ConnectionLimit
 		if limit <= 0 {
-			limit = defaultConnections
+			limit = defaultConnectionLimit
 		}
-		if u.connections == 0 || limit < u.connections {
-			u.connections = limit
+		if u.connectionLimit == 0 || limit < u.connectionLimit {
+			u.connectionLimit = limit
 		}
 	}
 	return u
 }
 
-// setName is a lone service's own name, or a hash of the set's members: the same set has the
-// same name in each configuration that has it.
-func setName(services []string) string {
+// upstreamName returns the name of a single service, or a name derived from a hash of the members
+// of a set, so that a set has the same name in every configuration.
+func upstreamName(services []string) string {
 	if len(services) == 1 {
 		return services[0]
 	}
 	return fmt.Sprintf("set-%d-%016x", len(services), xxhash.Sum64String(strings.Join(services, "\x00")))
 }
 
-// retire keeps the sets of the present configuration that the next one lacks.
-func (c *Catalog) retire(next *compiled, now time.Time) {
+// retainDroppedSets keeps, for Settings.DroppedSetRetention, the upstreams of the current
+// configuration that the next one lacks.
+func (c *Catalog) retainDroppedSets(next *compiledConfig, now time.Time) {
 	if c.compiled == nil {
 		return
 	}
 	for name, u := range c.compiled.upstreams {
 		if _, ok := next.upstreams[name]; !ok {
-			c.retired[name] = retiredSet{upstream: u, until: now.Add(c.settings.DroppedSetRetention)}
+			c.droppedSets[name] = droppedSet{upstream: u, until: now.Add(c.settings.DroppedSetRetention)}
 		}
 	}
 	for name := range next.upstreams {
-		delete(c.retired, name)
+		delete(c.droppedSets, name)
 	}
 }
 
-// Document joins configuration and leaves. It needs Ready. Documents of one configuration share
-// their services and routes.
+// Document builds the document of the current configuration and leaves. It must be called only when
+// Ready reports true. Documents of one configuration share their services and routes.
 func (c *Catalog) Document() *document.Document {
 	doc := &document.Document{Site: "platform", Services: c.compiled.services, Routes: c.compiled.routes}
 	all := maps.Clone(c.compiled.upstreams)
-	for name, r := range c.retired {
-		all[name] = r.upstream
+	for name, s := range c.droppedSets {
+		all[name] = s.upstream
 	}
-	leaves := c.byService()
+	leaves := c.leavesByService()
 	for _, name := range slices.Sorted(maps.Keys(all)) {
 		doc.Upstreams = append(doc.Upstreams, c.buildUpstream(all[name], leaves))
 	}
 	return doc
 }
 
-// compiled is the part of a document that does not depend on the leaves. It is immutable.
-type compiled struct {
+// compiledConfig is the part of a document that does not depend on the registered leaves. It is
+// immutable.
+type compiledConfig struct {
 	config *Config
-	// upstreams holds the routes' upstreams by name.
-	upstreams map[string]upstream
+	// upstreams holds the upstreams of the routes by name.
+	upstreams map[string]upstreamSpec
 	services  []document.Service
-	// first holds the index in services of each route's first service.
-	first  []int
-	routes []document.Route
-	// resolved counts the routes not reused from the previous configuration.
-	resolved int
+	// firstService holds, per route, the index in services of the route's first service.
+	firstService []int
+	routes       []document.Route
+	// resolvedCount is the number of routes not reused from the previous configuration.
+	resolvedCount int
 }
 
-// compile resolves a configuration's routes and reuses those shared with the previous one, which
-// may be nil.
-func compile(cfg *Config, before *compiled) *compiled {
-	if before == nil {
-		before = &compiled{config: &Config{}}
+// compileConfig resolves the routes of a configuration and reuses those shared with the previous
+// one, which may be nil.
+func compileConfig(cfg *Config, prev *compiledConfig) *compiledConfig {
+	if prev == nil {
+		prev = &compiledConfig{config: &Config{}}
 	}
-	out := &compiled{
-		config: cfg, upstreams: make(map[string]upstream),
+	out := &compiledConfig{
+		config: cfg, upstreams: make(map[string]upstreamSpec),
 		services: make([]document.Service, 0, len(cfg.Routes)), routes: make([]document.Route, 0, len(cfg.Routes)),
-		first: make([]int, 0, len(cfg.Routes)),
+		firstService: make([]int, 0, len(cfg.Routes)),
 	}
-	known := newAlignment(before.config.Routes)
+	prevRoutes := newRouteIndex(prev.config.Routes)
 	for _, r := range cfg.Routes {
-		out.first = append(out.first, len(out.services))
-		if at := known.near(r); at >= 0 && before.config.Routes[at] == r {
-			out.routes = append(out.routes, before.routes[at])
-			out.services = append(out.services, before.servicesOf(at)...)
+		out.firstService = append(out.firstService, len(out.services))
+		if at := prevRoutes.findNearby(r); at >= 0 && prev.config.Routes[at] == r {
+			out.routes = append(out.routes, prev.routes[at])
+			out.services = append(out.services, prev.servicesOf(at)...)
 		} else {
-			out.add(r)
-			out.resolved++
+			out.addRoute(r)
+			out.resolvedCount++
 		}
 		out.addUpstreams(r)
 	}
-	if slices.EqualFunc(out.routes, before.routes, sameRoute) {
-		out.routes = before.routes // lets the view keep its route table
+	if slices.EqualFunc(out.routes, prev.routes, routesAlike) {
+		out.routes = prev.routes // the view keeps its route table if the slice is the same
 	}
 	return out
 }
 
-// sameRoute reports whether two routes send the same requests to the same services.
-func sameRoute(a, b document.Route) bool {
+// routesAlike reports whether two routes match the same requests and send them to the same services.
+func routesAlike(a, b document.Route) bool {
 	return a.Name == b.Name && a.Host == b.Host && a.Prefix == b.Prefix && slices.Equal(a.Targets, b.Targets)
 }
 
-// servicesOf returns the services of the route at an index, one per target.
-func (c *compiled) servicesOf(at int) []document.Service {
-	return c.services[c.first[at]:][:len(c.routes[at].Targets)]
+// servicesOf returns the query services of the route at an index, one per target.
+func (c *compiledConfig) servicesOf(at int) []document.Service {
+	return c.services[c.firstService[at]:][:len(c.routes[at].Targets)]
 }
 
-// add resolves a route.
-func (c *compiled) add(r *Route) {
+// addRoute resolves a route and appends it with its query services.
+func (c *compiledConfig) addRoute(r *Route) {
 	route := document.Route{Name: r.Name, Host: r.Host, Prefix: r.Prefix}
 	for _, t := range r.targets() {
-		service := r.service(t)
+		service := r.querySpec(t)
 		c.services = append(c.services, service)
 		route.Targets = append(route.Targets, document.RouteTarget{Service: service.Name, Weight: t.weight})
 	}
 	c.routes = append(c.routes, route)
 }
 
-// addUpstreams adds the upstreams of the last route.
-func (c *compiled) addUpstreams(r *Route) {
+// addUpstreams adds the upstreams of r, which is the route added last.
+func (c *compiledConfig) addUpstreams(r *Route) {
 	for i, service := range c.servicesOf(len(c.routes) - 1) {
 		name := service.Upstreams[0]
 		if _, ok := c.upstreams[name]; ok {
 			continue
 		}
-		asked := r.Shards
-		if len(asked) == 0 {
-			asked = []string{r.Targets[i].Service}
+		services := r.Shards
+		if len(services) == 0 {
+			services = []string{r.Targets[i].Service}
 		}
-		c.upstreams[name] = newUpstream(name, asked, c.config.Services)
+		c.upstreams[name] = newUpstreamSpec(name, services, c.config.Services)
 	}
 }
 
-// buildUpstream makes shard i of n cover key i of n.
-func (c *Catalog) buildUpstream(u upstream, leaves map[string][]document.Leaf) document.Upstream {
+// buildUpstream returns an upstream with one shard per service. The key space has as many keys as
+// there are services, and shard i holds key i.
+func (c *Catalog) buildUpstream(u upstreamSpec, leaves map[string][]document.Leaf) document.Upstream {
 	repeats := c.settings.RepeatLimit
 	out := document.Upstream{
-		Name: u.name, KeySpace: uint64(len(u.services)), ConnectionLimit: u.connections,
+		Name: u.name, KeySpace: uint64(len(u.services)), ConnectionLimit: u.connectionLimit,
 		DialCost: c.settings.DialCost, Repeats: &repeats,
 	}
 	for i, service := range u.services {
@@ -173,16 +178,16 @@
 	return out
 }
 
-// target is one upstream of a route.
+// target is an upstream of a route with its weight.
 type target struct {
 	upstream string
 	weight   float64
 }
 
-// targets lists the upstreams of a route; a set of shards is one.
+// targets returns the upstreams of a route; a set of shards is one upstream.
 func (r *Route) targets() []target {
 	if len(r.Shards) > 0 {
-		return []target{{upstream: setName(r.Shards), weight: 1}}
+		return []target{{upstream: upstreamName(r.Shards), weight: 1}}
 	}
 	out := make([]target, 0, len(r.Targets))
 	for _, t := range r.Targets {
@@ -191,9 +196,9 @@
 	return out
 }
 
-// service is the query service of a route's target. Its name is the route's,
-// with the target's where the route has several.
-func (r *Route) service(t target) document.Service {
+// querySpec returns the query service for a target of the route. Its name is the route's name, with
+// the upstream's name appended if the route has several targets.
+func (r *Route) querySpec(t target) document.Service {
 	name := r.Name
 	if len(r.Targets) > 1 {
 		name += "/" + t.upstream
--- a/kernel/catalog/catalog.go
+++ b/kernel/catalog/catalog.go
@@ -1,12 +1,13 @@
-// Package catalog decides which configuration is in force and which leaves are
-// there, from reads of the platform's store. Reads may be old, may come in any
-// order and may fail for long; what is in force never goes back.
+// Package catalog is the service registry of one instance: it decides which
+// configuration is in force and which leaves exist, from reads of the platform's
+// store. Reads may be stale, arrive in any order and fail for a long time; the
+// catalog never goes back to an older state.
 //
-// A configuration names services, the leaves register themselves under a
-// service's name. The catalog joins both to a document: a service that is asked
-// alone is an upstream of one shard, a set of services that is asked together is
-// an upstream of as many shards. A set that a newer configuration no longer
-// names stays for a while, so that queries which began on it end on it.
+// A configuration names services, and leaves register under a service's name. The
+// catalog joins both into a document: a service that is queried alone becomes an
+// upstream of one shard, and a set of services that is queried together becomes an
+// upstream with one shard per service. An upstream that a newer configuration drops
+// is kept for some time, so that queries in flight can finish on it.
 package catalog
 
 import (
@@ -16,73 +17,77 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/document"
 )
 
-// Settings are the times that the catalog works with.
+// Settings holds the durations and limits of a catalog.
 type Settings struct {
-	// EntryTTL is the silence after which the store may drop a leaf's entry.
-	// An outage that lasted shorter drops no entry of a leaf that lives.
+	// EntryTTL is the time without a heartbeat after which the store may drop a leaf's
+	// entry. A shorter outage drops no entry of a running leaf.
 	EntryTTL time.Duration
-	// ReregisterWithin is how long after an outage the entries that lapsed in it
-	// take to come back.
+	// ReregisterWithin is the time after an outage within which running leaves whose
+	// entries lapsed register again.
 	ReregisterWithin time.Duration
-	// DroppedSetRetention is how long a set of shards is kept after the configuration has
-	// dropped it. It is at least the longest time of a query.
+	// DroppedSetRetention is how long a set of shards is kept after the configuration
+	// has dropped it. It is at least the longest query timeout.
 	DroppedSetRetention time.Duration
-	// ConfigFreshFor is how old the last read of the configuration may be for its word
-	// on an unknown route to count.
+	// ConfigFreshFor is the maximum age of the last read of the configuration at which
+	// a route that is not in it is taken not to exist.
 	ConfigFreshFor time.Duration
-	// RepeatLimit bounds the extra arrivals at each service.
+	// RepeatLimit bounds the arrivals at each service beyond the first of a request.
 	RepeatLimit document.RepeatLimit
-	// DialCost is the usual time of a new connection to a leaf.
+	// DialCost is the typical time to open a connection to a leaf.
 	DialCost time.Duration
 }
 
-// Catalog is the state. It is used by one goroutine at a time.
+// Catalog holds the configuration in force and the registered leaves. It must be
+// used by one goroutine at a time.
 type Catalog struct {
 	settings Settings
 	config   *Config
-	compiled *compiled // of the configuration
+	compiled *compiledConfig // compiled from config
 	// configAt is when the last read of the configuration began.
 	configAt time.Time
-	// listed are the leaves of the last list, held those that were missing in the
-	// first list after an outage and may still come back.
-	listed map[string]Leaf // by ID, as held
-	held   map[string]Leaf
-	// doubts are the entries of listed leaves whose birth went back, by ID.
-	doubts map[string]doubt
-	// absent are the leaves that lists named once, by ID.
-	absent map[string]absent
-	// byIncarnation finds the ID of a leaf in force.
+	// listed holds the leaves of the last list, by ID, merged with earlier lists.
+	listed map[string]Leaf
+	// lapsed holds, by ID, the leaves that were missing from the first list after an
+	// outage and may still register again.
+	lapsed map[string]Leaf
+	// doubtful holds the entries of listed leaves whose start time went back, by ID.
+	doubtful map[string]doubtfulEntry
+	// unlisted holds the leaves that an earlier list had and the last one lacks, by ID.
+	unlisted map[string]unlistedLeaf
+	// byIncarnation maps the incarnation of an active leaf to its ID.
 	byIncarnation map[string]string
-	revision      uint64
-	hasList       bool
-	// listedAt is when the last good read of the leaves began.
-	listedAt time.Time
-	// heldUntil is until when they are kept.
-	heldUntil time.Time
-	retired   map[string]retiredSet // by upstream name
+	// revision is the store's revision at the last successful read of the leaves.
+	revision  uint64
+	hasLeaves bool
+	// leavesAt is when the last successful read of the leaves began.
+	leavesAt time.Time
+	// lapsedUntil is when the lapsed leaves are dropped.
+	lapsedUntil time.Time
+	droppedSets map[string]droppedSet // by upstream name
 }
 
-// retiredSet is a set of shards that is kept for queries in flight.
-type retiredSet struct {
-	upstream upstream
+// droppedSet is an upstream that the configuration has dropped and that is kept for
+// queries in flight.
+type droppedSet struct {
+	upstream upstreamSpec
 	until    time.Time
 }
 
 // New returns an empty catalog.
 func New(s Settings) *Catalog {
 	return &Catalog{
-		settings: s, listed: make(map[string]Leaf), held: make(map[string]Leaf), retired: make(map[string]retiredSet),
-		doubts: make(map[string]doubt), absent: make(map[string]absent), byIncarnation: make(map[string]string),
+		settings: s, listed: make(map[string]Leaf), lapsed: make(map[string]Leaf), droppedSets: make(map[string]droppedSet),
+		doubtful: make(map[string]doubtfulEntry), unlisted: make(map[string]unlistedLeaf), byIncarnation: make(map[string]string),
 	}
 }
 
-// SetSettings changes the times and limits; what is known stays.
+// SetSettings replaces the settings and keeps the configuration and the leaves.
 func (c *Catalog) SetSettings(s Settings) { c.settings = s }
 
-// Ready reports whether there is a configuration and a list of leaves.
-func (c *Catalog) Ready() bool { return c.config != nil && c.hasList }
+// Ready reports whether the catalog has a configuration and a list of leaves.
+func (c *Catalog) Ready() bool { return c.config != nil && c.hasLeaves }
 
-// Version is the configuration's version in force, 0 before there is one.
+// Version returns the version of the configuration in force, or 0 if there is none.
 func (c *Catalog) Version() uint64 {
 	if c.config == nil {
 		return 0
@@ -90,7 +95,7 @@
 	return c.config.Version
 }
 
-// Limits are those of the configuration in force.
+// Limits returns the limits of the configuration in force, or zero limits if there is none.
 func (c *Catalog) Limits() Limits {
 	if c.config == nil {
 		return Limits{}
@@ -98,110 +103,109 @@
 	return c.config.Limits
 }
 
-// ApplyConfig takes a configuration whose read began at the given time. Only a
-// higher version comes into force. It reports whether anything changed.
-func (c *Catalog) ApplyConfig(cfg *Config, began, now time.Time) bool {
-	if began.After(c.configAt) {
-		c.configAt = began
+// ApplyConfig applies a configuration whose read began at readStart, if its version is
+// higher than the one in force. It reports whether the configuration in force changed.
+func (c *Catalog) ApplyConfig(cfg *Config, readStart, now time.Time) bool {
+	if readStart.After(c.configAt) {
+		c.configAt = readStart
 	}
 	if c.config != nil && cfg.Version <= c.config.Version {
 		return false
 	}
 	cfg = c.config.ReuseRoutes(cfg)
-	next := compile(cfg, c.compiled)
-	c.retire(next, now)
+	next := compileConfig(cfg, c.compiled)
+	c.retainDroppedSets(next, now)
 	c.config, c.compiled = cfg, next
 	return true
 }
 
 // ChangedRouteCount returns the number of routes that differ from the previous configuration.
-func (c *Catalog) ChangedRouteCount() int { return c.compiled.resolved }
+func (c *Catalog) ChangedRouteCount() int { return c.compiled.resolvedCount }
 
-// RecordConfigMissing notes that there was no configuration at a read that began at the
-// given time.
-func (c *Catalog) RecordConfigMissing(began time.Time) {
-	if c.config == nil && began.After(c.configAt) {
-		c.configAt = began
+// RecordConfigMissing records that a read that began at readStart found no configuration.
+func (c *Catalog) RecordConfigMissing(readStart time.Time) {
+	if c.config == nil && readStart.After(c.configAt) {
+		c.configAt = readStart
 	}
 }
 
-// ConfigFreshUntil is until when the configuration in force may be taken for the
-// newest: an unknown route does not exist.
+// ConfigFreshUntil returns the time until which the configuration in force counts as the
+// newest one, so that a route that is not in it does not exist.
 func (c *Catalog) ConfigFreshUntil() time.Time { return c.configAt.Add(c.settings.ConfigFreshFor) }
 
-// LastReads says how new what is in force is.
+// LastReads tells how recent the configuration and the leaves are.
 type LastReads struct {
-	// ConfigAt and LeavesAt are when the last good reads began; zero for never.
+	// ConfigAt and LeavesAt are when the last successful reads began; zero if there was none.
 	ConfigAt, LeavesAt time.Time
-	// Revision is the store's at the last read of the leaves.
+	// Revision is the store's revision at the last read of the leaves.
 	Revision uint64
 }
 
-// LastReads returns the times of the last good reads.
+// LastReads returns the times of the last successful reads.
 func (c *Catalog) LastReads() LastReads {
-	return LastReads{ConfigAt: c.configAt, LeavesAt: c.listedAt, Revision: c.revision}
+	return LastReads{ConfigAt: c.configAt, LeavesAt: c.leavesAt, Revision: c.revision}
 }
 
-// Config is the configuration in force, or nil. It must not be changed.
+// Config returns the configuration in force, or nil. The caller must not modify it.
 func (c *Catalog) Config() *Config { return c.config }
 
-// ListedLeaves returns the leaves of the last list in the order of their IDs, without
-// those that are held: whoever receives them decides that by its own gap. Entries
-// in doubt are sent as they were read, for the same reason.
+// ListedLeaves returns the leaves of the last list, ordered by ID, for other instances.
+// It leaves out lapsed leaves, because a receiver decides by the length of its own outage
+// which leaves to keep. For the same reason it returns a doubtful entry as it was read.
 func (c *Catalog) ListedLeaves() []Leaf {
-	out := sorted(c.listed)
+	out := sortByID(c.listed)
 	for i := range out {
-		if d, ok := c.doubts[out[i].ID]; ok {
+		if d, ok := c.doubtful[out[i].ID]; ok {
 			out[i] = d.entry
 		}
 	}
 	return out
 }
 
-// MarkDraining takes the sign of a leaf, by its incarnation, that it takes no more work.
-// It reports whether that changes anything.
+// MarkDraining marks a leaf, given by its incarnation, as draining: the leaf itself has
+// signaled that it takes no more work. It reports whether that changes anything.
 func (c *Catalog) MarkDraining(incarnation string) bool {
 	id, ok := c.byIncarnation[incarnation]
 	if !ok {
 		return false
 	}
-	l, ok := c.known(id)
+	l, ok := c.activeLeaf(id)
 	if !ok || l.Draining {
 		return false
 	}
 	l.Draining = true
-	if _, held := c.held[id]; held {
-		c.held[id] = l
+	if _, ok := c.lapsed[id]; ok {
+		c.lapsed[id] = l
 	} else {
 		c.listed[id] = l
 	}
 	return true
 }
 
-// Expire drops retired sets and held leaves whose time is over. It reports whether
-// any was.
+// Expire removes dropped sets and lapsed leaves whose retention has ended. It reports
+// whether it removed any.
 func (c *Catalog) Expire(now time.Time) bool {
-	sets, held := len(c.retired), len(c.held)
-	maps.DeleteFunc(c.retired, func(_ string, r retiredSet) bool { return !now.Before(r.until) })
-	c.release(now)
-	return len(c.retired) != sets || len(c.held) != held
+	sets, lapsed := len(c.droppedSets), len(c.lapsed)
+	maps.DeleteFunc(c.droppedSets, func(_ string, s droppedSet) bool { return !now.Before(s.until) })
+	c.dropLapsed(now)
+	return len(c.droppedSets) != sets || len(c.lapsed) != lapsed
 }
 
-// LeafCount is the number of leaves in force.
-func (c *Catalog) LeafCount() int { return len(c.listed) + len(c.held) }
+// LeafCount returns the number of active leaves: those listed and those lapsed.
+func (c *Catalog) LeafCount() int { return len(c.listed) + len(c.lapsed) }
 
-// byService lists the leaves of each service, in the order of their IDs.
-func (c *Catalog) byService() map[string][]document.Leaf {
+// leavesByService returns the active leaves of each service, ordered by ID.
+func (c *Catalog) leavesByService() map[string][]document.Leaf {
 	out := make(map[string][]document.Leaf)
-	for _, l := range sorted(c.leaves()) {
+	for _, l := range sortByID(c.activeLeaves()) {
 		out[l.Service] = append(out[l.Service], document.Leaf{ID: l.Incarnation(), Name: l.ID, Zone: l.Zone, Address: l.Address})
 	}
 	return out
 }
 
-// Draining reports whether a leaf, by its incarnation, gets no new work.
+// Draining reports whether a leaf, given by its incarnation, gets no new work.
 func (c *Catalog) Draining(incarnation string) bool {
 	id := c.byIncarnation[incarnation]
-	l, _ := c.known(id)
-	return l.Draining || c.doubts[id].entry.Draining
+	l, _ := c.activeLeaf(id)
+	return l.Draining || c.doubtful[id].entry.Draining
 }
--- a/kernel/catalog/change.go
+++ b/kernel/catalog/change.go
@@ -11,21 +11,23 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ConfigChange is what leads from one version of the configuration to another.
+// ConfigChange is the difference between two versions of the configuration, the base and the new
+// version.
 type ConfigChange struct {
 	Version uint64
 	Limits  Limits
-	// Routes are those that differ, New those that are new, both in their order, and GoneRoutes
-	// the names of those that are no more.
+	// Routes holds the routes that differ and New those that the base lacks, both in the order of
+	// the new version. GoneRoutes holds the names of the routes that only the base has.
 	Routes     []*Route   `json:",omitempty"`
 	New        []NewRoute `json:",omitempty"`
 	GoneRoutes []string   `json:",omitempty"`
-	// Services are those that differ or are new, and GoneServices those that are no more.
+	// Services holds the services that differ or are new, by name, and GoneServices the names of
+	// those that only the base has.
 	Services     map[string]Service `json:",omitempty"`
 	GoneServices []string           `json:",omitempty"`
 }
 
-// NewRoute is a route missing in the base version, with its index in the new one.
+// NewRoute is a route that the base version lacks, with its index in the new version.
 type NewRoute struct {
 	At    int
 	Route *Route
@@ -34,19 +36,19 @@
 // Size returns the number of routes changed, added and removed.
 func (c *ConfigChange) Size() int { return len(c.Routes) + len(c.New) + len(c.GoneRoutes) }
 
-// Diff computes the change to another version; ok is false if Apply does not yield that version,
-// as after a change of the routes' order.
+// Diff computes the change from this version to another one. It returns ok = false if Apply with
+// the change does not yield that version, as when the order of the routes differs.
 func (c *Config) Diff(to *Config) (change *ConfigChange, ok bool) {
 	out := &ConfigChange{Version: to.Version, Limits: to.Limits, Services: make(map[string]Service)}
-	before := newAlignment(c.Routes)
+	index := newRouteIndex(c.Routes)
 	for i, r := range to.Routes {
-		if at := before.index(r); at < 0 {
+		if at := index.find(r); at < 0 {
 			out.New = append(out.New, NewRoute{At: i, Route: r})
 		} else if !c.Routes[at].equal(r) {
 			out.Routes = append(out.Routes, r)
 		}
 	}
-	out.GoneRoutes = before.gone()
+	out.GoneRoutes = index.unmatchedNames()
 	for name, s := range to.Services {
 		if was, known := c.Services[name]; !known || was != s {
 			out.Services[name] = s
@@ -60,71 +62,73 @@
 	return out, c.Apply(out).Hash() == to.Hash()
 }
 
-// alignment matches routes of one version by name with those of another, mostly in the same order.
-type alignment struct {
+// routeIndex finds the routes of one version by name. It expects lookups mostly in the order of the
+// routes and builds a map of names only when a lookup is out of order.
+type routeIndex struct {
 	routes []*Route
 	next   int            // index after the last match
-	found  []bool         // by index
-	byName map[string]int // name to index; nil until a match is out of order
+	found  []bool         // whether a lookup matched the route, by index
+	byName map[string]int // name to index; nil until a lookup is out of order
 }
 
-// newAlignment returns an alignment with the routes of one version.
-func newAlignment(routes []*Route) *alignment {
-	return &alignment{routes: routes, found: make([]bool, len(routes))}
+// newRouteIndex returns an index of the routes of one version.
+func newRouteIndex(routes []*Route) *routeIndex {
+	return &routeIndex{routes: routes, found: make([]bool, len(routes))}
 }
 
-// nearRoutes bounds the search after the last match, before all names are indexed.
-const nearRoutes = 32
+// nearbyRoutes is the number of routes after the last match that findNearby searches.
+const nearbyRoutes = 32
 
-// near returns the index of the route with the same name among the next nearRoutes, or -1.
-func (a *alignment) near(r *Route) int {
-	for at := a.next; at < min(a.next+nearRoutes, len(a.routes)); at++ {
-		if a.routes[at].Name == r.Name {
-			return a.take(at)
+// findNearby returns the index of the route with the name of r among the nearbyRoutes routes after
+// the last match, or -1.
+func (x *routeIndex) findNearby(r *Route) int {
+	for at := x.next; at < min(x.next+nearbyRoutes, len(x.routes)); at++ {
+		if x.routes[at].Name == r.Name {
+			return x.markFound(at)
 		}
 	}
 	return -1
 }
 
-// index returns the index of the route with the same name, or -1.
-func (a *alignment) index(r *Route) int {
-	if at := a.near(r); at >= 0 {
+// find returns the index of the route with the name of r, or -1.
+func (x *routeIndex) find(r *Route) int {
+	if at := x.findNearby(r); at >= 0 {
 		return at
 	}
-	if a.byName == nil {
-		a.byName = make(map[string]int, len(a.routes))
-		for i, known := range a.routes {
-			a.byName[known.Name] = i
+	if x.byName == nil {
+		x.byName = make(map[string]int, len(x.routes))
+		for i, route := range x.routes {
+			x.byName[route.Name] = i
 		}
 	}
-	if at, ok := a.byName[r.Name]; ok {
-		return a.take(at)
+	if at, ok := x.byName[r.Name]; ok {
+		return x.markFound(at)
 	}
 	return -1
 }
 
-// take marks a route as found.
-func (a *alignment) take(at int) int {
-	a.next, a.found[at] = at+1, true
+// markFound marks the route at an index as found, and returns the index.
+func (x *routeIndex) markFound(at int) int {
+	x.next, x.found[at] = at+1, true
 	return at
 }
 
-// gone returns the sorted names of the routes not found.
-func (a *alignment) gone() []string {
+// unmatchedNames returns the sorted names of the routes that no lookup matched.
+func (x *routeIndex) unmatchedNames() []string {
 	var out []string
-	for i, found := range a.found {
+	for i, found := range x.found {
 		if !found {
-			out = append(out, a.routes[i].Name)
+			out = append(out, x.routes[i].Name)
 		}
 	}
 	slices.Sort(out)
 	return slices.Compact(out)
 }
 
-// ReuseRoutes returns the next version with the equal routes of this one, which may be nil, in place of
-// its own copies.
+// ReuseRoutes returns the next version with the routes that equal those of this version replaced by
+// the pointers of this version, so that the two share them. The receiver may be nil.
 func (c *Config) ReuseRoutes(next *Config) *Config {
-	if c == nil || c.shares(next) {
+	if c == nil || c.sharesRoutes(next) {
 		return next
 	}
 	if change, ok := c.Diff(next); ok {
@@ -133,9 +137,9 @@
 	return next
 }
 
-// shares reports whether another version holds a route of this one at the same index, as a version
-// derived by Apply does.
-func (c *Config) shares(o *Config) bool {
+// sharesRoutes reports whether another version has the same route pointer at some index, as a
+// version derived by Apply does.
+func (c *Config) sharesRoutes(o *Config) bool {
 	for i := range min(len(c.Routes), len(o.Routes)) {
 		if c.Routes[i] == o.Routes[i] {
 			return true
@@ -144,9 +148,10 @@
 	return false
 }
 
-// Apply returns the version that a change leads to. It shares with this one what is equal.
+// Apply returns the version that results from a change. It shares the unchanged routes and services
+// with this version.
 func (c *Config) Apply(change *ConfigChange) *Config {
-	out := &Config{Version: change.Version, Limits: change.Limits, Services: c.applyServices(change)}
+	out := &Config{Version: change.Version, Limits: change.Limits, Services: c.changedServices(change)}
 	changed := make(map[string]*Route, len(change.Routes))
 	for _, r := range change.Routes {
 		changed[r.Name] = r
@@ -155,37 +160,37 @@
 	for _, name := range change.GoneRoutes {
 		gone[name] = true
 	}
-	sums := c.routeSums()
+	sums := c.routeHashes()
 	out.Routes = make([]*Route, 0, len(c.Routes)+len(change.New))
-	out.sums = make([]uint64, 0, cap(out.Routes))
+	out.hashes = make([]uint64, 0, cap(out.Routes))
 	added := change.New
 	for i, r := range c.Routes {
 		if gone[r.Name] {
 			continue
 		}
 		for len(added) > 0 && added[0].At == len(out.Routes) {
-			out.add(added[0].Route, added[0].Route.sum())
+			out.appendRoute(added[0].Route, added[0].Route.hash())
 			added = added[1:]
 		}
 		if next := changed[r.Name]; next != nil {
-			out.add(next, next.sum())
+			out.appendRoute(next, next.hash())
 		} else {
-			out.add(r, sums[i])
+			out.appendRoute(r, sums[i])
 		}
 	}
 	for _, n := range added {
-		out.add(n.Route, n.Route.sum())
+		out.appendRoute(n.Route, n.Route.hash())
 	}
 	return out
 }
 
-// add appends a route and its hash.
-func (c *Config) add(r *Route, sum uint64) {
-	c.Routes, c.sums = append(c.Routes, r), append(c.sums, sum)
+// appendRoute appends a route and its hash.
+func (c *Config) appendRoute(r *Route, sum uint64) {
+	c.Routes, c.hashes = append(c.Routes, r), append(c.hashes, sum)
 }
 
-// applyServices returns the services of the changed version.
-func (c *Config) applyServices(change *ConfigChange) map[string]Service {
+// changedServices returns the services after a change.
+func (c *Config) changedServices(change *ConfigChange) map[string]Service {
 	if c.Services != nil && len(change.Services) == 0 && len(change.GoneServices) == 0 {
 		return c.Services
 	}
@@ -200,13 +205,13 @@
 	return out
 }
 
-// routeSums returns the hash of each route.
-func (c *Config) routeSums() []uint64 {
-	if c.sums != nil {
-		return c.sums
+// routeHashes returns the hash of each route, by index.
+func (c *Config) routeHashes() []uint64 {
+	if c.hashes != nil {
+		return c.hashes
 	}
 	out := make([]uint64, len(c.Routes))
-	buf := make([]byte, 0, routeKeyLength)
+	buf := make([]byte, 0, routeKeyCapacity)
 	for i, r := range c.Routes {
 		buf = r.appendKey(buf[:0])
 		out[i] = xxhash.Sum64(buf)
@@ -214,57 +219,57 @@
 	return out
 }
 
-// routeKeyLength is the initial capacity for a route's key, in bytes.
-const routeKeyLength = 256
+// routeKeyCapacity is the initial capacity of the buffer for an encoded route, in bytes.
+const routeKeyCapacity = 256
 
-// sum returns a hash over all fields of the route.
-func (r *Route) sum() uint64 { return xxhash.Sum64(r.appendKey(make([]byte, 0, routeKeyLength))) }
+// hash returns a hash over all fields of the route.
+func (r *Route) hash() uint64 { return xxhash.Sum64(r.appendKey(make([]byte, 0, routeKeyCapacity))) }
 
-// Hash is a hash of all that the version says; it is not 0.
+// Hash returns a hash of all exported fields, nested ones included. It is never 0.
 func (c *Config) Hash() uint64 {
 	h := xxhash.New()
 	buf := binary.AppendUvarint(nil, c.Version)
 	buf = binary.AppendVarint(buf, int64(c.Limits.HeaderBytes))
 	buf = binary.AppendVarint(buf, c.Limits.BodyBytes)
-	buf = appendTimes(buf, c.Limits.HeaderTime, c.Limits.IdleTime)
+	buf = appendDurations(buf, c.Limits.HeaderTime, c.Limits.IdleTime)
 	_, _ = h.Write(buf) // never fails
 	for _, name := range slices.Sorted(maps.Keys(c.Services)) {
-		buf = appendText(buf[:0], name, c.Services[name].Name)
+		buf = appendStrings(buf[:0], name, c.Services[name].Name)
 		buf = binary.AppendVarint(buf, int64(c.Services[name].ConnectionLimit))
 		_, _ = h.Write(buf)
 	}
-	for _, sum := range c.routeSums() {
+	for _, sum := range c.routeHashes() {
 		_, _ = h.Write(binary.LittleEndian.AppendUint64(buf[:0], sum))
 	}
 	return max(h.Sum64(), 1)
 }
 
-// equal reports whether two routes say the same.
+// equal reports whether all fields of two routes are equal.
 func (r *Route) equal(o *Route) bool {
 	return r == o || r.Name == o.Name && r.Host == o.Host && r.Prefix == o.Prefix && r.Idempotent == o.Idempotent &&
 		r.Timeout == o.Timeout && r.Objective == o.Objective && r.Attempts == o.Attempts && r.Priority == o.Priority &&
 		r.TopK == o.TopK && r.LeastCoverage == o.LeastCoverage && slices.Equal(r.Shards, o.Shards) && slices.Equal(r.Targets, o.Targets)
 }
 
-// appendKey appends all that a route says.
+// appendKey appends an encoding of all fields of the route.
 func (r *Route) appendKey(buf []byte) []byte {
-	buf = appendText(buf, r.Name, r.Host, r.Prefix)
+	buf = appendStrings(buf, r.Name, r.Host, r.Prefix)
 	buf = strconv.AppendBool(buf, r.Idempotent)
-	buf = appendTimes(buf, r.Timeout, r.Objective)
+	buf = appendDurations(buf, r.Timeout, r.Objective)
 	for _, n := range []int{r.Attempts, r.Priority, r.TopK, len(r.Shards), len(r.Targets)} {
 		buf = binary.AppendVarint(buf, int64(n))
 	}
 	buf = binary.AppendUvarint(buf, math.Float64bits(r.LeastCoverage))
-	buf = appendText(buf, r.Shards...)
+	buf = appendStrings(buf, r.Shards...)
 	for i := range r.Targets {
-		buf = appendText(buf, r.Targets[i].Service)
+		buf = appendStrings(buf, r.Targets[i].Service)
 		buf = binary.AppendUvarint(buf, math.Float64bits(r.Targets[i].Weight))
 	}
 	return buf
 }
 
-// appendText appends strings with their lengths.
-func appendText(buf []byte, all ...string) []byte {
+// appendStrings appends strings, each prefixed with its length.
+func appendStrings(buf []byte, all ...string) []byte {
 	for _, s := range all {
 		buf = binary.AppendUvarint(buf, uint64(len(s)))
 		buf = append(buf, s...)
@@ -272,8 +277,8 @@
 	return buf
 }
 
-// appendTimes appends durations.
-func appendTimes(buf []byte, all ...time.Duration) []byte {
+// appendDurations appends durations in nanoseconds.
+func appendDurations(buf []byte, all ...time.Duration) []byte {
 	for _, d := range all {
 		buf = binary.AppendVarint(buf, int64(d))
 	}
--- a/kernel/catalog/change_test.go
+++ b/kernel/catalog/change_test.go
@@ -12,7 +12,8 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/document"
 )
 
-// drawRoute draws a route of a name, of few values so that routes are often equal.
+// drawRoute draws a route with a given name. Its other fields have few values, so that routes are
+// often equal.
 func drawRoute(t *rapid.T, name string) *Route {
 	r := &Route{
 		Name: name, Host: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "host"), Prefix: "/" + name + "/",
@@ -27,11 +28,11 @@
 	return r
 }
 
-// drawVersion draws a version near another: some routes differ, some are gone, some are new, now and
-// then in another order.
-func drawVersion(t *rapid.T, before *Config) *Config {
-	out := &Config{Version: before.Version + 1, Services: make(map[string]Service), Limits: Limits{BodyBytes: int64(rapid.IntRange(0, 1).Draw(t, "limit"))}}
-	for _, r := range before.Routes {
+// drawVersion draws a version close to the previous one: some routes differ, some are removed, some
+// are new, and occasionally the order differs.
+func drawVersion(t *rapid.T, prev *Config) *Config {
+	out := &Config{Version: prev.Version + 1, Services: make(map[string]Service), Limits: Limits{BodyBytes: int64(rapid.IntRange(0, 1).Draw(t, "limit"))}}
+	for _, r := range prev.Routes {
 		switch rapid.IntRange(0, 9).Draw(t, "what") {
 		case 0:
 		case 1:
@@ -55,9 +56,10 @@
 	return out
 }
 
-// TestChangeLeadsToTheVersion applies changes between versions drawn at random: where a change is
-// offered it leads to the version, and versions that differ have other hashes.
-func TestChangeLeadsToTheVersion(t *testing.T) {
+// TestApplyOfDiffYieldsVersion applies the changes between random versions. Diff must report ok
+// exactly if Apply yields the version, which also needs versions that differ to have different
+// hashes.
+func TestApplyOfDiffYieldsVersion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config := &Config{}
 		for range rapid.IntRange(1, 8).Draw(t, "versions") {
@@ -65,14 +67,14 @@
 			change, ok := config.Diff(next)
 			got := config.Apply(change)
 			if same := sameConfig(got, next); ok != same {
-				t.Fatalf("the change is offered: %v, it leads to the version: %v\n%+v\n%+v", ok, same, got, next)
+				t.Fatalf("Diff reports %v, but Apply yields the version: %v\n%+v\n%+v", ok, same, got, next)
 			}
 			config = next
 		}
 	})
 }
 
-// sameConfig compares two versions field by field; no routes are as good as an empty list.
+// sameConfig compares two versions field by field and takes nil and empty routes as equal.
 func sameConfig(a, b *Config) bool {
 	if len(a.Routes) == 0 && len(b.Routes) == 0 {
 		return a.Version == b.Version && a.Limits == b.Limits && reflect.DeepEqual(a.Services, b.Services)
@@ -80,9 +82,9 @@
 	return a.Version == b.Version && a.Limits == b.Limits && reflect.DeepEqual(a.Services, b.Services) && reflect.DeepEqual(a.Routes, b.Routes)
 }
 
-// TestNewRouteAmongOthersIsAChange puts routes between those of a version, as one sorted by names
-// has them, and takes others away.
-func TestNewRouteAmongOthersIsAChange(t *testing.T) {
+// TestDiffWithRoutesInsertedAndRemoved inserts routes between those of a version, as happens when
+// routes are sorted by name, and removes others.
+func TestDiffWithRoutesInsertedAndRemoved(t *testing.T) {
 	services := map[string]Service{"s": {Name: "s"}}
 	before, after := &Config{Version: 1, Services: services}, &Config{Version: 2, Services: services}
 	for i := range 500 {
@@ -99,12 +101,12 @@
 		t.Errorf("ok %v, %d new, %d differ, %d gone", ok, len(change.New), len(change.Routes), len(change.GoneRoutes))
 	}
 	if got := before.Apply(change); got.Hash() != after.Hash() || !sameConfig(got, after) {
-		t.Error("the change does not lead to the version")
+		t.Error("applying the change does not yield the version")
 	}
 }
 
-// TestChangeIsAsLongAsWhatDiffers changes one of many routes.
-func TestChangeIsAsLongAsWhatDiffers(t *testing.T) {
+// TestDiffHoldsOnlyWhatDiffers changes one of many routes and removes another one.
+func TestDiffHoldsOnlyWhatDiffers(t *testing.T) {
 	before := &Config{Version: 1, Services: map[string]Service{"s": {Name: "s"}, "t": {Name: "t"}}}
 	for i := range 500 {
 		before.Routes = append(before.Routes, &Route{Name: fmt.Sprint(i), Prefix: fmt.Sprintf("/%d/", i)})
--- a/kernel/catalog/incarnation.go
+++ b/kernel/catalog/incarnation.go
@@ -2,132 +2,132 @@
 
 import "time"
 
-// The entries of one ID tell of one leaf after the other: a leaf that starts again
-// may keep its ID, and knows nothing of before. Which entry is the later one follows
-// from the store's revision. Whether it is of the same start follows from the birth, or,
-// for leaves that state none, by a sequence that went back.
+// The entries under one ID may describe several incarnations of a leaf in turn: a leaf
+// that restarts may keep its ID, and starts without any state. The store's revision
+// tells which of two entries is the later one. The start time tells whether they
+// describe the same incarnation; for leaves that state none, a heartbeat sequence that
+// went back shows a restart.
 //
-// Births come from the leaves' clocks, which may step. A birth that is earlier than
-// the one in force, in an entry that was written later, is either a write of the old
-// process that the store carried out late, or a new start of a leaf whose clock went
-// back. The next heartbeat of a leaf that lives replaces the first; the second stays.
-// So such an entry is in doubt until it has stood for Settings.EntryTTL. Until then
-// the leaf in force stays in force, but gets no new work while the doubtful entry
-// drains: neither case may send work to a leaf that leaves, and neither loses the
-// leaf for longer than that time.
+// Start times come from the leaves' clocks, which may step. An entry that was written
+// later but has an earlier start time than the active leaf is either a delayed write of
+// the old process, or a restart of a leaf whose clock went back. The next heartbeat of
+// a running leaf replaces the entry in the first case, whereas in the second case the
+// entry stays. So such an entry is doubtful until it has been there for
+// Settings.EntryTTL. Until then the old leaf stays active, but gets no new work while
+// the doubtful entry drains. In both cases no work goes to a draining leaf, and no leaf
+// is lost for longer than that time.
 
-// doubt is an entry with an earlier birth than the leaf in force, and when the read
-// began in which it was first seen.
-type doubt struct {
+// doubtfulEntry is an entry with an earlier start time than the active leaf.
+type doubtfulEntry struct {
 	entry Leaf
+	// since is when the read began that returned the entry for the first time.
 	since time.Time
 }
 
-// succession says how a later entry of an ID relates to the leaf in force.
-type succession int
+// entryRelation tells how a newly read entry relates to the active leaf with its ID.
+type entryRelation int
 
 const (
-	sameStart succession = iota
-	newStart
-	earlierBirth
-	staleEntry // written before the entry in force
+	sameIncarnation entryRelation = iota
+	newIncarnation
+	earlierStart
+	staleEntry // written before the entry of the active leaf
 )
 
-// succeeds compares an entry with the leaf in force under its ID.
-func succeeds(old, l *Leaf) succession {
+// relate compares the entry l with the active leaf old of the same ID.
+func relate(old, l *Leaf) entryRelation {
 	switch {
 	case l.Revision != 0 && l.Revision < old.Revision:
 		return staleEntry
 	case l.StartMillis != old.StartMillis && l.StartMillis != 0 && old.StartMillis != 0:
 		if l.StartMillis < old.StartMillis {
-			return earlierBirth
+			return earlierStart
 		}
-		return newStart
+		return newIncarnation
 	case l.StartMillis != old.StartMillis:
-		return newStart // it began, or ceased, to state its birth: another program
+		return newIncarnation // only one of the two states a start time, so the programs differ
 	case l.StartMillis == 0 && l.Sequence < old.Sequence && l.Revision > old.Revision:
-		return newStart
+		return newIncarnation
 	case l.StartMillis == 0 && l.Restarts > old.Restarts:
-		return newStart // another instance saw it
+		return newIncarnation // another instance saw the restart
 	default:
-		return sameStart
+		return sameIncarnation
 	}
 }
 
-// merge returns the leaf in force after one more reading of its entry. Within one
-// start a drain is never taken back, and the end of the slow start does not move
-// with each reading.
-func (c *Catalog) merge(l Leaf, began time.Time) Leaf {
-	old, ok := c.remembered(l.ID)
+// merge returns the active leaf after a read of its entry. Within one incarnation a
+// draining leaf stays draining, and later reads don't move the end of the warm-up.
+func (c *Catalog) merge(l Leaf, readStart time.Time) Leaf {
+	old, ok := c.lastKnown(l.ID)
 	if !ok {
 		return l
 	}
-	switch succeeds(&old, &l) {
+	switch relate(&old, &l) {
 	case staleEntry:
 		return old
-	case earlierBirth:
-		return c.mergeDoubtful(old, l, began)
-	case newStart:
+	case earlierStart:
+		return c.mergeDoubtful(old, l, readStart)
+	case newIncarnation:
 		if l.StartMillis == 0 {
-			l.Restarts = max(l.Restarts, old.Restarts+1) // as received, or counted here
+			l.Restarts = max(l.Restarts, old.Restarts+1) // as received from another instance, or counted here
 		}
-		delete(c.doubts, l.ID)
+		delete(c.doubtful, l.ID)
 		return l
 	}
-	delete(c.doubts, l.ID)
+	delete(c.doubtful, l.ID)
 	l.Draining = l.Draining || old.Draining
 	l.WarmUpEnd = old.WarmUpEnd
 	l.Restarts = max(l.Restarts, old.Restarts)
 	return l
 }
 
-// mergeDoubtful keeps the leaf in force until the doubtful entry has stood for long
-// enough.
-func (c *Catalog) mergeDoubtful(old, l Leaf, began time.Time) Leaf {
-	d, ok := c.doubts[l.ID]
+// mergeDoubtful returns the old leaf until the doubtful entry has been there for
+// Settings.EntryTTL, and the entry l after that.
+func (c *Catalog) mergeDoubtful(old, l Leaf, readStart time.Time) Leaf {
+	d, ok := c.doubtful[l.ID]
 	if !ok || d.entry.StartMillis != l.StartMillis {
-		d = doubt{since: began}
+		d = doubtfulEntry{since: readStart}
 	}
-	if began.Sub(d.since) >= c.settings.EntryTTL {
-		delete(c.doubts, l.ID)
+	if readStart.Sub(d.since) >= c.settings.EntryTTL {
+		delete(c.doubtful, l.ID)
 		return l
 	}
 	d.entry = l
-	c.doubts[l.ID] = d
+	c.doubtful[l.ID] = d
 	return old
 }
 
-// settleDoubts puts the entries in force that have stood for long enough by a read
-// that found the list unchanged.
-func (c *Catalog) settleDoubts(began time.Time) (changed bool) {
-	for id, d := range c.doubts {
-		if began.Sub(d.since) >= c.settings.EntryTTL {
+// acceptDoubtful activates the doubtful entries that a read which found the list
+// unchanged shows to be at least Settings.EntryTTL old. It reports whether there were any.
+func (c *Catalog) acceptDoubtful(readStart time.Time) (changed bool) {
+	for id, d := range c.doubtful {
+		if readStart.Sub(d.since) >= c.settings.EntryTTL {
 			c.listed[id] = d.entry
-			delete(c.doubts, id)
+			delete(c.doubtful, id)
 			changed = true
 		}
 	}
 	if changed {
-		c.index()
+		c.indexIncarnations()
 	}
 	return changed
 }
 
-// forgetAfter is for how long a leaf is remembered that no list names any more: its
-// entry may be unreadable for a while, or lapse, and come back within one start.
-const forgetAfter = 5 * time.Minute
+// unlistedRetention is how long a leaf that is missing from the list is remembered: its
+// entry may be unreadable for a while, or lapse, and come back in the same incarnation.
+const unlistedRetention = 5 * time.Minute
 
-// absent is a leaf that the last list did not name.
-type absent struct {
+// unlistedLeaf is a leaf that the last list lacks, and since when.
+type unlistedLeaf struct {
 	leaf  Leaf
 	since time.Time
 }
 
-// remembered returns the leaf in force under an ID, or the last one that was.
-func (c *Catalog) remembered(id string) (Leaf, bool) {
-	if l, ok := c.known(id); ok {
+// lastKnown returns the active leaf with an ID, or the unlisted leaf that was last active.
+func (c *Catalog) lastKnown(id string) (Leaf, bool) {
+	if l, ok := c.activeLeaf(id); ok {
 		return l, true
 	}
-	a, ok := c.absent[id]
+	a, ok := c.unlisted[id]
 	return a.leaf, ok
 }
--- a/kernel/catalog/leaf.go
+++ b/kernel/catalog/leaf.go
@@ -16,32 +16,32 @@
 
 // Leaf is one registered leaf.
 type Leaf struct {
-	// ID is the name under which the leaf registers. A leaf that starts again may
-	// keep it; Incarnation tells the starts apart.
+	// ID is the name under which the leaf registers. A leaf that restarts may keep
+	// it; Incarnation tells the runs apart.
 	ID      string
 	Service string
 	Address string // IP:port
 	Zone    string
-	// Slots is the number of requests that the leaf runs at once.
+	// Slots is the number of requests that the leaf runs concurrently.
 	Slots    int
 	Draining bool
-	// WarmUpEnd is when the leaf has got over its slow start; it may have passed.
+	// WarmUpEnd is when the slow start of the leaf ends; it may be in the past.
 	WarmUpEnd time.Time
-	// StartMillis is the Unix millisecond of the leaf's start by its own clock; 0: the leaf
-	// does not say. It is compared with other births of the same ID only, never with
-	// the clock of this instance.
+	// StartMillis is the start time of the leaf by its own clock, in Unix milliseconds;
+	// 0 if the leaf states none. It is compared with other start times of the same ID
+	// only, never with the clock of this instance.
 	StartMillis int64
 	// Sequence counts the leaf's heartbeats since its start.
 	Sequence int64
 	// Revision is the store's revision at the last change of the entry; 0: unknown.
 	Revision uint64
-	// Restarts counts the starts under the same ID that only Sequence gave away. It
-	// is not read from the store.
+	// Restarts counts the restarts under the same ID that were detected by Sequence
+	// alone. It is not read from the store.
 	Restarts int
 }
 
-// Incarnation names one start of the leaf: the ID, with the birth or the number of
-// restarts where there is one.
+// Incarnation returns the identity of one run of the leaf: the ID, followed by the start
+// time or else the number of restarts, if known.
 func (l *Leaf) Incarnation() string {
 	switch {
 	case l.StartMillis != 0:
@@ -56,17 +56,17 @@
 // Listing is one read of the list of leaves.
 type Listing struct {
 	Leaves []Leaf
-	// Bad are the entries that describe no usable leaf.
+	// Bad holds the entries that describe no usable leaf.
 	Bad []BadEntry
 	// Revision is the store's revision of the list.
 	Revision uint64
 }
 
-// BadEntry is an entry of the store that can't be used, with the field that is wrong.
+// BadEntry is an error that describes an unusable entry of the store.
 type BadEntry struct {
 	Name     string
 	Revision uint64
-	// Field is empty where no single field is to blame.
+	// Field is the invalid field; empty if the error is not due to a single field.
 	Field  string
 	Reason string
 }
@@ -76,46 +76,45 @@
 	return fmt.Sprintf("entry %q: %s: %s", b.Name, b.Field, b.Reason)
 }
 
-// Bounds of what an entry may state, far beyond what a real leaf states.
+// Upper bounds for the values of an entry, far above those of a real leaf.
 const (
-	// longestName bounds names, in bytes. They appear in headers and log lines.
-	longestName = 253
-	// MaxSlots bounds the requests that a leaf runs at once.
+	// maxNameBytes bounds names, in bytes. They appear in headers and log lines.
+	maxNameBytes = 253
+	// MaxSlots bounds the requests that a leaf runs concurrently.
 	MaxSlots = 1 << 20
-	// MaxWarmUp bounds a slow start.
+	// MaxWarmUp bounds the slow start of a leaf.
 	MaxWarmUp = 24 * time.Hour
 )
 
-// Validate returns a *BadEntry for the first field with a value that no leaf can have,
-// or nil.
+// Validate returns a *BadEntry for the first field with an invalid value, or nil.
 func (l *Leaf) Validate() *BadEntry {
 	switch {
-	case !validToken(l.ID):
-		return l.bad("id", "not a printable name")
+	case !validHeaderToken(l.ID):
+		return l.invalidField("id", "not a printable name")
 	case !ValidName(l.Service):
-		return l.bad("service", "not a printable name")
+		return l.invalidField("service", "not a printable name")
 	case !ValidName(l.Zone):
-		return l.bad("zone", "not a printable name")
+		return l.invalidField("zone", "not a printable name")
 	case !ValidAddress(l.Address):
-		return l.bad("address", "not an IP address with a port")
+		return l.invalidField("address", "not an IP address with a port")
 	case l.Slots < 1 || l.Slots > MaxSlots:
-		return l.bad("slots", "out of range")
+		return l.invalidField("slots", "out of range")
 	case l.Sequence < 0:
-		return l.bad("sequence", "negative")
+		return l.invalidField("sequence", "negative")
 	case l.StartMillis < 0:
-		return l.bad("born", "negative")
+		return l.invalidField("born", "negative")
 	}
 	return nil
 }
 
-// bad blames a field.
-func (l *Leaf) bad(field, reason string) *BadEntry {
+// invalidField returns the error for an invalid field of the leaf.
+func (l *Leaf) invalidField(field, reason string) *BadEntry {
 	return &BadEntry{Name: l.ID, Revision: l.Revision, Field: field, Reason: reason}
 }
 
-// ValidName reports whether a name is printable and of a bounded length.
+// ValidName reports whether a name is printable, not empty and at most maxNameBytes long.
 func ValidName(s string) bool {
-	if s == "" || len(s) > longestName || !utf8.ValidString(s) {
+	if s == "" || len(s) > maxNameBytes || !utf8.ValidString(s) {
 		return false
 	}
 	for _, r := range s {
@@ -126,9 +125,10 @@
 	return true
 }
 
-// validToken reports whether a name may stand in a header: printable ASCII without
-// spaces. Anything else in an ID could split a request to a leaf in two.
-func validToken(s string) bool {
+// validHeaderToken reports whether a name may be used in a header: printable ASCII without
+// spaces. Any other character in an ID would allow header injection, which could split a
+// request to a leaf in two.
+func validHeaderToken(s string) bool {
 	for i := range len(s) {
 		if s[i] <= ' ' || s[i] > '~' {
 			return false
@@ -143,8 +143,8 @@
 	return err == nil && a.Port() != 0 && !a.Addr().IsUnspecified()
 }
 
-// sorted returns leaves in the order of their IDs.
-func sorted(leaves map[string]Leaf) []Leaf {
+// sortByID returns the leaves of a map, ordered by ID.
+func sortByID(leaves map[string]Leaf) []Leaf {
 	out := make([]Leaf, 0, len(leaves))
 	for _, id := range slices.Sorted(maps.Keys(leaves)) {
 		out = append(out, leaves[id])
@@ -152,7 +152,7 @@
 	return out
 }
 
-// HashLeaves is a hash of what a list of leaves means to routing; never 0.
+// HashLeaves returns a hash of the fields of leaves that matter to routing. It is never 0.
 func HashLeaves(list []Leaf) uint64 {
 	h := xxhash.New()
 	var buf []byte
@@ -163,8 +163,8 @@
 	return max(h.Sum64(), 1)
 }
 
-// appendKey appends what a leaf means to routing. No valid name has the byte between
-// the fields.
+// appendKey appends an encoding of the fields that matter to routing. Fields are
+// separated by a zero byte, which no valid name contains.
 func (l *Leaf) appendKey(buf []byte) []byte {
 	for _, s := range []string{l.Incarnation(), l.Service, l.Address, l.Zone} {
 		buf = append(buf, s...)
@@ -174,7 +174,7 @@
 	return strconv.AppendBool(buf, l.Draining)
 }
 
-// sameForRouting reports whether two readings of a leaf mean the same to routing.
+// sameForRouting reports whether all fields that matter to routing are equal in two leaves.
 func sameForRouting(a, b Leaf) bool {
 	return a.Incarnation() == b.Incarnation() && a.Service == b.Service && a.Address == b.Address && a.Zone == b.Zone &&
 		a.Slots == b.Slots && a.Draining == b.Draining
--- a/kernel/catalog/list.go
+++ b/kernel/catalog/list.go
@@ -5,95 +5,99 @@
 	"time"
 )
 
-// sees reports whether a list at the revision is new.
-func (c *Catalog) sees(revision uint64) bool { return !c.hasList || revision >= c.revision }
+// isCurrent reports whether a list at the revision is at least as new as the last one.
+func (c *Catalog) isCurrent(revision uint64) bool { return !c.hasLeaves || revision >= c.revision }
 
-// ApplyLeaves takes the whole list of leaves at a revision of the store. A list
-// older than one taken before is dropped, also one of the same revision from an earlier read:
-// what was seen leaving stays so, and the list does not age. It
-// reports whether anything changed; the first list is a change, also an empty one.
+// ApplyLeaves applies the complete list of leaves at a revision of the store. It ignores
+// a list older than the last one, and one of the same revision whose read began earlier,
+// so that a draining leaf stays draining and LastReads.LeavesAt does not go back. It
+// reports whether anything changed; the first list counts as a change even if empty.
 //
-// Entries of leaves that live lapse in an outage and come back after it. Those
-// missing in the first list after one are held for that time; what is missing
-// later is gone. To hold these too let leaves that left after the outage get new
-// work for as long. A leaf whose entry is there and bad is not held either: whoever
-// overwrote the entry may have taken the leaf's place, and if the leaf lives its next
-// heartbeat brings it back.
-func (c *Catalog) ApplyLeaves(list Listing, began, now time.Time) bool {
-	if !c.sees(list.Revision) || c.hasList && list.Revision == c.revision && began.Before(c.listedAt) {
+// In an outage, entries of running leaves lapse and come back after it. Leaves that are
+// missing from the first list after an outage are therefore kept for
+// Settings.ReregisterWithin. Leaves missing from later lists are dropped at once: if
+// they were kept too, leaves that stopped after the outage would get new work for as
+// long. A leaf whose entry exists but is invalid is dropped as well: whoever overwrote
+// the entry may have replaced the leaf, and if the leaf still runs, its next heartbeat
+// restores it.
+func (c *Catalog) ApplyLeaves(list Listing, readStart, now time.Time) bool {
+	if !c.isCurrent(list.Revision) || c.hasLeaves && list.Revision == c.revision && readStart.Before(c.leavesAt) {
 		return false
 	}
-	first := !c.hasList
-	before := c.leaves()
+	first := !c.hasLeaves
+	prev := c.activeLeaves()
 	next := make(map[string]Leaf, len(list.Leaves))
 	for _, l := range list.Leaves {
-		next[l.ID] = c.merge(l, began)
+		next[l.ID] = c.merge(l, readStart)
 	}
-	c.remember(before, next, now)
-	if c.hasList && began.Sub(c.listedAt) >= c.settings.EntryTTL {
-		c.held = missing(before, next)
+	c.updateUnlisted(prev, next, now)
+	if c.hasLeaves && readStart.Sub(c.leavesAt) >= c.settings.EntryTTL {
+		c.lapsed = missingFrom(prev, next)
 		for i := range list.Bad {
-			delete(c.held, list.Bad[i].Name)
+			delete(c.lapsed, list.Bad[i].Name)
 		}
-		c.heldUntil = now.Add(c.settings.ReregisterWithin)
+		c.lapsedUntil = now.Add(c.settings.ReregisterWithin)
 	}
-	c.hasList, c.revision, c.listedAt = true, list.Revision, began
+	c.hasLeaves, c.revision, c.leavesAt = true, list.Revision, readStart
 	c.listed = next
-	maps.DeleteFunc(c.doubts, func(id string, _ doubt) bool { _, ok := next[id]; return !ok })
-	c.release(now)
-	c.index()
-	return first || !maps.EqualFunc(before, c.leaves(), sameForRouting)
+	maps.DeleteFunc(c.doubtful, func(id string, _ doubtfulEntry) bool { _, ok := next[id]; return !ok })
+	c.dropLapsed(now)
+	c.indexIncarnations()
+	return first || !maps.EqualFunc(prev, c.activeLeaves(), sameForRouting)
 }
 
-// remember keeps the leaves that a list does not name any more.
-func (c *Catalog) remember(before, next map[string]Leaf, now time.Time) {
+// updateUnlisted records the leaves that were active before and that the next list lacks,
+// and forgets those that are listed again or have been missing for unlistedRetention.
+func (c *Catalog) updateUnlisted(prev, next map[string]Leaf, now time.Time) {
 	for id := range next {
-		delete(c.absent, id)
+		delete(c.unlisted, id)
 	}
-	for id, l := range missing(before, next) {
-		if _, ok := c.absent[id]; !ok {
-			c.absent[id] = absent{leaf: l, since: now}
+	for id, l := range missingFrom(prev, next) {
+		if _, ok := c.unlisted[id]; !ok {
+			c.unlisted[id] = unlistedLeaf{leaf: l, since: now}
 		}
 	}
-	maps.DeleteFunc(c.absent, func(_ string, a absent) bool { return now.Sub(a.since) >= forgetAfter })
+	maps.DeleteFunc(c.unlisted, func(_ string, a unlistedLeaf) bool { return now.Sub(a.since) >= unlistedRetention })
 }
 
-// index finds the leaves in force by their incarnations.
-func (c *Catalog) index() {
+// indexIncarnations rebuilds byIncarnation.
+func (c *Catalog) indexIncarnations() {
 	clear(c.byIncarnation)
-	for id, l := range c.leaves() {
+	for id, l := range c.activeLeaves() {
 		c.byIncarnation[l.Incarnation()] = id
 	}
 }
 
-// release ends the holding of leaves that are back, or whose time is over.
-func (c *Catalog) release(now time.Time) {
-	if !now.Before(c.heldUntil) {
-		clear(c.held)
+// dropLapsed drops the lapsed leaves that are listed again, or all of them when their time
+// to register again has passed.
+func (c *Catalog) dropLapsed(now time.Time) {
+	if !now.Before(c.lapsedUntil) {
+		clear(c.lapsed)
 		return
 	}
-	maps.DeleteFunc(c.held, func(id string, _ Leaf) bool {
+	maps.DeleteFunc(c.lapsed, func(id string, _ Leaf) bool {
 		_, back := c.listed[id]
 		return back
 	})
 }
 
-// missing returns the leaves of one list that another lacks.
-func missing(from, in map[string]Leaf) map[string]Leaf {
+// missingFrom returns the leaves of prev that next lacks.
+func missingFrom(prev, next map[string]Leaf) map[string]Leaf {
 	out := make(map[string]Leaf)
-	for id, l := range from {
-		if _, ok := in[id]; !ok {
+	for id, l := range prev {
+		if _, ok := next[id]; !ok {
 			out[id] = l
 		}
 	}
 	return out
 }
 
-// leaves are those in force: the listed and the held ones.
-func (c *Catalog) leaves() map[string]Leaf {
+// activeLeaves returns the listed and the lapsed leaves, by ID. A leaf with a doubtful
+// entry that drains counts as draining.
+func (c *Catalog) activeLeaves() map[string]Leaf {
 	out := maps.Clone(c.listed)
-	maps.Copy(out, c.held)
-	for id, d := range c.doubts {
+	maps.Copy(out, c.lapsed)
+	for id, d := range c.doubtful {
 		l := out[id]
 		l.Draining = l.Draining || d.entry.Draining
 		out[id] = l
@@ -101,21 +105,21 @@
 	return out
 }
 
-// known returns a leaf in force.
-func (c *Catalog) known(id string) (Leaf, bool) {
+// activeLeaf returns the listed or lapsed leaf with an ID.
+func (c *Catalog) activeLeaf(id string) (Leaf, bool) {
 	if l, ok := c.listed[id]; ok {
 		return l, true
 	}
-	l, ok := c.held[id]
+	l, ok := c.lapsed[id]
 	return l, ok
 }
 
-// ConfirmLeaves notes that the list in force was still the newest at a read
-// that began at the given time. It reports whether anything changed by that.
-func (c *Catalog) ConfirmLeaves(revision uint64, began time.Time) bool {
-	if !c.hasList || !c.sees(revision) || !began.After(c.listedAt) {
+// ConfirmLeaves records that a read that began at readStart found the list unchanged, at
+// the given revision. It reports whether that activated a doubtful entry.
+func (c *Catalog) ConfirmLeaves(revision uint64, readStart time.Time) bool {
+	if !c.hasLeaves || !c.isCurrent(revision) || !readStart.After(c.leavesAt) {
 		return false
 	}
-	c.revision, c.listedAt = revision, began
-	return c.settleDoubts(began)
+	c.revision, c.leavesAt = revision, readStart
+	return c.acceptDoubtful(readStart)
 }
