--- a/entry/hosted/announce.go
+++ b/entry/hosted/announce.go
@@ -21,9 +21,9 @@
 		sleep(ctx, announceInterval/2+rand.N(announceInterval/2))
 	}
 	for ctx.Err() == nil && !m.node.lifecycle.Leaving() {
-		m.self.Mark++
+		m.self.AnnouncementID++
 		call, cancel := context.WithTimeout(ctx, callTimeout)
-		existed, err := m.node.config.Source.Announce(call, m.self, look(m, (*fleet.Fleet).Announced))
+		existed, err := m.node.config.Source.Announce(call, m.self, look(m, (*fleet.Fleet).IsAnnounced))
 		cancel()
 		wait := announceInterval
 		if err != nil {
@@ -51,19 +51,19 @@
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	return look(m, (*fleet.Fleet).Announced)
+	return look(m, (*fleet.Fleet).IsAnnounced)
 }
 
 // joined says that the others can know of this instance from now on.
 func (m *members) joined(existed bool) {
-	how := fleet.StartNew
+	how := fleet.JoinAsNew
 	switch {
 	case m.node.config.FirstStart:
-		how = fleet.StartFirst
+		how = fleet.JoinAtBootstrap
 	case existed:
-		how = fleet.StartAgain
+		how = fleet.JoinAfterRestart
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.fleet.Joined(how, time.Now())
+	m.fleet.RecordJoin(how, time.Now())
 }
--- a/entry/hosted/begin.go
+++ b/entry/hosted/begin.go
@@ -50,7 +50,7 @@
 	seeds := look(c.node.fleet, (*fleet.Fleet).Seeds)
 	for i := 0; ctx.Err() == nil && len(seeds) > 0; i++ {
 		seed := seeds[i%len(seeds)]
-		err := c.ask(ctx, fleet.Instance{Peer: seed})
+		err := c.ask(ctx, fleet.Instance{PeerAddress: seed})
 		if err == nil || stale(err) {
 			learned()
 			return
--- a/entry/hosted/control.go
+++ b/entry/hosted/control.go
@@ -269,7 +269,7 @@
 
 // connections is this instance's share of a leaf's limit, at least one.
 func (c *control) connections(u *document.Upstream, _ string) int {
-	return look(c.node.fleet, func(f *fleet.Fleet) int { return f.Connections(u.ConnectionLimit, len(u.Shards)) })
+	return look(c.node.fleet, func(f *fleet.Fleet) int { return f.ConnectionShare(u.ConnectionLimit, len(u.Shards)) })
 }
 
 // post hands a message to the control goroutine.
--- a/entry/hosted/follow.go
+++ b/entry/hosted/follow.go
@@ -129,7 +129,7 @@
 			return role, nil
 		}
 		err = c.ask(ctx, from)
-		if err == nil && role == fleet.RoleLead && c.age() > c.bound(oldReaderShare) {
+		if err == nil && role == fleet.RoleZoneLead && c.age() > c.bound(oldReaderShare) {
 			err = &staleStateError{c.age()}
 		}
 		if err == nil {
@@ -140,8 +140,8 @@
 			return role, err
 		}
 		c.backOff(from, err)
-		c.log.Info("peer passed over", "peer", from.Name, "address", from.Peer, "as", role, "err", err)
-		if role == fleet.RoleLead {
+		c.log.Info("peer passed over", "peer", from.Name, "address", from.PeerAddress, "as", role, "err", err)
+		if role == fleet.RoleZoneLead {
 			return role, err
 		}
 	}
@@ -160,7 +160,7 @@
 // askOtherLeads asks the leads of other zones after this instance's own read of the store
 // has failed: the store may refuse some instances and serve others.
 func (c *control) askOtherLeads(ctx context.Context) {
-	leads := look(c.node.fleet, func(f *fleet.Fleet) []fleet.Instance { return f.OtherLeads(time.Now()) })
+	leads := look(c.node.fleet, func(f *fleet.Fleet) []fleet.Instance { return f.OtherZoneLeads(time.Now()) })
 	for _, lead := range leads[:min(len(leads), maxPeersAsked)] {
 		if c.ask(ctx, lead) == nil && c.fresh() {
 			return
--- a/entry/hosted/forwarding/gather.go
+++ b/entry/hosted/forwarding/gather.go
@@ -114,7 +114,7 @@
 
 // targetOf is the address of an instance.
 func targetOf(i fleet.Instance) peer.Target {
-	return peer.Target{Instance: i.Name, Address: i.Peer}
+	return peer.Target{Instance: i.Name, Address: i.PeerAddress}
 }
 
 // firstReply hands a group over and waits for its first reply.
--- a/entry/hosted/forwarding/gather_test.go
+++ b/entry/hosted/forwarding/gather_test.go
@@ -26,7 +26,7 @@
 	n := weak(t, other)
 	list := n.fleet.Stronger(time.Now())
 	list[0].Zone = "y"
-	n.fleet.Listed(list, time.Now())
+	n.fleet.ApplyStoreList(list, time.Now())
 	return n
 }
 
--- a/entry/hosted/forwarding/relay.go
+++ b/entry/hosted/forwarding/relay.go
@@ -41,7 +41,7 @@
 // over many shards to a stronger one of its zone. Whatever goes wrong before that
 // one has accepted, this instance runs the request itself.
 func (f *Forwarder) Relay(ctx context.Context, r *executor.Request) *gateway.Reply {
-	if !fleet.HandsOver(r.Service.Shards) || !r.Service.Config.Idempotent {
+	if !fleet.ShouldForward(r.Service.Shards) || !r.Service.Config.Idempotent {
 		return nil
 	}
 	began := time.Now()
--- a/entry/hosted/forwarding/relay_test.go
+++ b/entry/hosted/forwarding/relay_test.go
@@ -83,7 +83,7 @@
 	}
 	network := &peertest.Network{}
 	n := &fixture{
-		fleet: fleet.New(fleet.Instance{Name: "weak", Zone: "z", Power: 0.2}, fleetSettings),
+		fleet: fleet.New(fleet.Instance{Name: "weak", Zone: "z", CPUs: 0.2}, fleetSettings),
 		peers: peer.NewClient(peer.ClientConfig{Instance: "weak", Key: []byte("k"), Dial: network.Dial}),
 	}
 	n.Forwarder = New(Config{Zone: "z", Fleet: n.fleet, Views: n, Lifecycle: &n.lifecycle, Peers: n.peers, Log: log, SyncNow: func() {}})
@@ -95,10 +95,10 @@
 			name = fmt.Sprintf("strong-%d", i)
 		}
 		address, end := s.serve(t, network, name)
-		list = append(list, fleet.Instance{Name: name, Zone: "z", Power: 0.8, Peer: address})
+		list = append(list, fleet.Instance{Name: name, Zone: "z", CPUs: 0.8, PeerAddress: address})
 		ends = append(ends, end)
 	}
-	n.fleet.Listed(list, time.Now())
+	n.fleet.ApplyStoreList(list, time.Now())
 	t.Cleanup(func() {
 		n.peers.Close()
 		log.Close()
--- a/entry/hosted/members.go
+++ b/entry/hosted/members.go
@@ -72,13 +72,13 @@
 // newMembers makes a fleet of one.
 func newMembers(n *Node) *members {
 	span := n.config.Tunables.Catalog.Repeats.Window
-	self := fleet.Instance{Name: n.config.Instance, Zone: n.config.Zone, Peer: n.config.Peer, Power: n.config.Power, Mark: rand.Uint64()}
+	self := fleet.Instance{Name: n.config.Instance, Zone: n.config.Zone, PeerAddress: n.config.Peer, CPUs: n.config.Power, AnnouncementID: rand.Uint64()}
 	m := &members{
 		node: n, log: n.log.Part("fleet"), self: self, begun: time.Now(), known: make(chan struct{}),
 		bad: newBadEntries(n.log.Part("fleet"), n.metrics.Scope, "instances"),
 		fleet: fleet.New(self, fleet.Settings{
 			ForgetAfter: forgetAfter, PeerBackoff: peerBackoff, MaxPeerBackoff: maxPeerBackoff, StalePeerBackoff: stalePeerBackoff, ListPropagationBound: listPropagationBound,
-			Span: span, HoldParts: max(span, listPropagationBound),
+			RepeatWindow: span, ShareHoldTime: max(span, listPropagationBound),
 		}),
 	}
 	seeds := append([]string(nil), n.config.Seeds...)
@@ -97,12 +97,12 @@
 // transient reports whether this instance's share of the connections to a leaf is less
 // than one.
 func (m *members) transient(u *document.Upstream) bool {
-	return look(m, func(f *fleet.Fleet) bool { return f.Transient(u.ConnectionLimit, len(u.Shards)) })
+	return look(m, func(f *fleet.Fleet) bool { return f.UsesTransientConnections(u.ConnectionLimit, len(u.Shards)) })
 }
 
 // repeatSlack is this instance's part of the repeats that the fleet may make.
 func (m *members) repeatSlack(shards int) float64 {
-	return look(m, func(f *fleet.Fleet) float64 { return f.RepeatSlack(shards, time.Now()) })
+	return look(m, func(f *fleet.Fleet) float64 { return f.RepeatAllowanceShare(shards, time.Now()) })
 }
 
 // Partners lists the instances to which this one hands over much.
@@ -114,7 +114,7 @@
 func (m *members) source(now time.Time) (fleet.Instance, fleet.Role) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.fleet.Source(now)
+	return m.fleet.SyncSource(now)
 }
 
 // Stronger lists the instances of the zone to which a large query may be handed.
@@ -158,7 +158,7 @@
 // listDue reports whether this instance is to read the announcements itself.
 func (m *members) listDue(now time.Time) bool {
 	_, role := m.source(now)
-	age := now.Sub(look(m, (*fleet.Fleet).ListedAt))
+	age := now.Sub(look(m, (*fleet.Fleet).ListReadAt))
 	if role != fleet.RoleReader {
 		return age >= ownListAfter && now.Sub(m.tried) >= listInterval
 	}
@@ -179,7 +179,7 @@
 		return
 	}
 	m.bad.report(bad)
-	m.change(func(f *fleet.Fleet) { f.Listed(list, began) })
+	m.change(func(f *fleet.Fleet) { f.ApplyStoreList(list, began) })
 }
 
 // received takes the list of another instance.
@@ -189,9 +189,9 @@
 	}
 	m.change(func(f *fleet.Fleet) {
 		if u.Instances != nil {
-			f.Received(u.Instances, u.FleetAt)
+			f.ApplyPeerList(u.Instances, u.FleetAt)
 		} else if s := m.sent.Load(); s != nil && s.Hash == u.FleetHash {
-			f.Confirmed(u.FleetAt)
+			f.ConfirmList(u.FleetAt)
 		}
 	})
 }
@@ -199,24 +199,24 @@
 // change changes the fleet. A change of its shape changes shares.
 func (m *members) change(do func(*fleet.Fleet)) {
 	m.mu.Lock()
-	before := m.fleet.Shape()
+	before := m.fleet.Composition()
 	do(m.fleet)
-	after := m.fleet.Shape()
-	listed := !m.fleet.ListedAt().IsZero()
-	m.encode(m.fleet.List())
+	after := m.fleet.Composition()
+	listed := !m.fleet.ListReadAt().IsZero()
+	m.encode(m.fleet.Instances())
 	m.mu.Unlock()
 	if listed {
 		m.knownOnce.Do(func() { close(m.known) })
 	}
 	if before != after {
-		m.log.Info("size of the fleet", "instances", after.Size, "before", before.Size, "runners", after.Runners, "runs", after.Runs)
+		m.log.Info("size of the fleet", "instances", after.Size, "before", before.Size, "runners", after.Coordinators, "runs", after.IsCoordinator)
 		m.node.control.resized()
 	}
 }
 
 // encode renews what others get, where it differs.
 func (m *members) encode(list []fleet.Instance) {
-	if s := m.sent.Load(); s != nil && s.Hash == fleet.HashOf(list) {
+	if s := m.sent.Load(); s != nil && s.Hash == fleet.HashInstances(list) {
 		return
 	}
 	s, err := statesync.NewInstances(list)
@@ -237,7 +237,7 @@
 
 // write fills in the list for a peer that asks.
 func (m *members) write(r *peerapi.SyncRequest, out *peerapi.SyncReply, now time.Time) {
-	at := look(m, (*fleet.Fleet).ListedAt)
+	at := look(m, (*fleet.Fleet).ListReadAt)
 	s := m.sent.Load()
 	if s == nil || at.IsZero() {
 		return
--- a/entry/hosted/members_test.go
+++ b/entry/hosted/members_test.go
@@ -207,7 +207,7 @@
 		c := settled(t, 40)
 		defer c.stopAll()
 		for address, r := range maps.Clone(c.running) {
-			if _, role := r.node.fleet.source(time.Now()); role == fleet.RoleLead {
+			if _, role := r.node.fleet.source(time.Now()); role == fleet.RoleZoneLead {
 				c.stop(address)
 			}
 		}
@@ -224,7 +224,7 @@
 // knows of them before the first request can have come.
 func TestStartFindsTheOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := &announced{fakeStore: fakeStore{version: 1}, list: []fleet.Instance{{Name: "j", Zone: "z", Power: 2, Mark: 1}, {Name: "k", Zone: "y", Power: 1, Mark: 1}}}
+		store := &announced{fakeStore: fakeStore{version: 1}, list: []fleet.Instance{{Name: "j", Zone: "z", CPUs: 2, AnnouncementID: 1}, {Name: "k", Zone: "y", CPUs: 1, AnnouncementID: 1}}}
 		n, end := start(t, store)
 		defer end()
 		time.Sleep(time.Millisecond)
@@ -261,7 +261,7 @@
 				switch {
 				case role == fleet.RoleReader:
 					refused[name] = true
-				case role == fleet.RoleLead && leads < refusedLeads:
+				case role == fleet.RoleZoneLead && leads < refusedLeads:
 					leads++
 					refused[name] = true
 				case role == fleet.RoleMember && name[len(name)-1] >= '7':
--- a/entry/hosted/quarantine_test.go
+++ b/entry/hosted/quarantine_test.go
@@ -72,7 +72,7 @@
 	if !knows(first) || knows(reader) || knows(third) {
 		t.Fatal("only the first instance is to know of the request")
 	}
-	from := fleet.Instance{Name: "reader", Peer: address}
+	from := fleet.Instance{Name: "reader", PeerAddress: address}
 	for _, n := range []*Node{first, third} {
 		if err := n.control.ask(t.Context(), from); err != nil {
 			t.Fatal(err)
--- a/entry/hosted/statesync/instances.go
+++ b/entry/hosted/statesync/instances.go
@@ -27,13 +27,13 @@
 func NewInstances(list []fleet.Instance) (*Instances, error) {
 	records := make([]instanceRecord, 0, len(list))
 	for _, i := range list {
-		records = append(records, instanceRecord{Name: i.Name, Zone: i.Zone, Peer: i.Peer, Power: i.Power, Mark: i.Mark})
+		records = append(records, instanceRecord{Name: i.Name, Zone: i.Zone, Peer: i.PeerAddress, Power: i.CPUs, Mark: i.AnnouncementID})
 	}
 	packed, err := pack(records)
 	if err != nil {
 		return nil, err
 	}
-	return &Instances{Hash: fleet.HashOf(list), packed: packed}, nil
+	return &Instances{Hash: fleet.HashInstances(list), packed: packed}, nil
 }
 
 // Write fills in the list where it differs from the one with the given hash.
@@ -57,7 +57,7 @@
 	out := make([]fleet.Instance, 0, len(records))
 	for _, r := range records {
 		if catalog.ValidName(r.Name) && catalog.ValidName(r.Zone) && catalog.ValidAddress(r.Peer) && r.Power >= 0 {
-			out = append(out, fleet.Instance{Name: r.Name, Zone: r.Zone, Peer: r.Peer, Power: r.Power, Mark: r.Mark})
+			out = append(out, fleet.Instance{Name: r.Name, Zone: r.Zone, PeerAddress: r.Peer, CPUs: r.Power, AnnouncementID: r.Mark})
 		}
 	}
 	return out, nil
--- a/entry/hosted/storeread.go
+++ b/entry/hosted/storeread.go
@@ -112,10 +112,10 @@
 	switch role {
 	case fleet.RoleReader:
 		return r.bound(readShare)
-	case fleet.RoleLead:
+	case fleet.RoleZoneLead:
 		return r.bound(leadTurnShare)
 	case fleet.RoleMember:
-		return r.bound(staleShare + look(r.node.fleet, (*fleet.Fleet).SearchTurn)*(lastTurnShare-staleShare))
+		return r.bound(staleShare + look(r.node.fleet, (*fleet.Fleet).StoreSearchTurn)*(lastTurnShare-staleShare))
 	default:
 		return r.bound(staleShare)
 	}
--- a/entry/hosted/sync.go
+++ b/entry/hosted/sync.go
@@ -85,7 +85,7 @@
 	request := c.receiver.Request(config)
 	request.Fleet, request.AgeMS = c.node.fleet.hash(), c.ageMS(began)
 	request.Seen, request.Quarantine = c.node.slow.TakePending(began), c.node.executor.Quarantine()
-	reply, err := c.peers.Sync(ctx, peer.Target{Instance: from.Name, Address: from.Peer}, request)
+	reply, err := c.peers.Sync(ctx, peer.Target{Instance: from.Name, Address: from.PeerAddress}, request)
 	if err != nil {
 		return err
 	}
@@ -99,7 +99,7 @@
 	}
 	c.node.slow.SetReported(reply.Slow, began)
 	c.node.fleet.received(update)
-	if err := c.post(ctx, peerUpdate{update: update, peer: cmp.Or(from.Name, from.Peer), base: base}); err != nil {
+	if err := c.post(ctx, peerUpdate{update: update, peer: cmp.Or(from.Name, from.PeerAddress), base: base}); err != nil {
 		c.receiver.Forget() // the catalog has not got it
 		return err
 	}
--- a/kernel/fleet/connections.go
+++ b/kernel/fleet/connections.go
@@ -10,10 +10,10 @@
 	// is gone counts until the next list, by which time another has its part.
 )
 
-// Connections is this instance's share of the connections that one leaf takes from all
+// ConnectionShare is this instance's share of the connections that one leaf takes from all
 // instances, at least one. Where a few strong instances run the queries over many
 // shards, an even share leaves most connections to instances that open none.
-func (f *Fleet) Connections(limit, shards int) int {
+func (f *Fleet) ConnectionShare(limit, shards int) int {
 	even := max(1, limit/f.Size())
 	if runners, self := f.concentrated(shards); self {
 		return max(even, int(runnersPart*float64(limit))/runners)
@@ -21,10 +21,10 @@
 	return even
 }
 
-// Transient reports whether this instance's share of the connections that one leaf takes
+// UsesTransientConnections reports whether this instance's share of the connections that one leaf takes
 // from all instances is less than one: a fleet may be larger than the limit. One that keeps
 // a connection all the same would have the leaf refuse those of others.
-func (f *Fleet) Transient(limit, shards int) bool {
+func (f *Fleet) UsesTransientConnections(limit, shards int) bool {
 	runners, self := f.concentrated(shards)
 	switch {
 	case runners == 0:
@@ -54,40 +54,40 @@
 // concentrated tells how many instances run the queries over so many shards of all,
 // and whether this one is among them; none where each runs its own.
 func (f *Fleet) concentrated(shards int) (runners int, self bool) {
-	if !f.listed || !HandsOver(shards) {
+	if !f.listed || !ShouldForward(shards) {
 		return 0, false
 	}
-	if 2*f.shape.Runners > f.Size() {
+	if 2*f.shape.Coordinators > f.Size() {
 		return 0, false
 	}
-	return f.shape.Runners, f.shape.Runs
+	return f.shape.Coordinators, f.shape.IsCoordinator
 }
 
-// Shape is what the shares of the fleet's limits depend on.
-type Shape struct {
-	// Size is the number of instances, and Runners of those that run the queries over
+// Composition is what the shares of the fleet's limits depend on.
+type Composition struct {
+	// Size is the number of instances, and Coordinators of those that run the queries over
 	// many shards; Runs reports whether this one does.
-	Size, Runners int
-	Runs          bool
+	Size, Coordinators int
+	IsCoordinator      bool
 }
 
-// Shape returns the fleet's shape as far as it is known.
-func (f *Fleet) Shape() Shape { return f.shape }
+// Composition returns the fleet's shape as far as it is known.
+func (f *Fleet) Composition() Composition { return f.shape }
 
 // reshape computes the shape, which is asked for with each request.
 func (f *Fleet) reshape() {
 	n, self := f.runners()
-	f.shape = Shape{Size: f.Size(), Runners: n, Runs: self}
+	f.shape = Composition{Size: f.Size(), Coordinators: n, IsCoordinator: self}
 }
 
 // runners counts the instances that have no far stronger one in their zone, and
 // reports whether this one is among them. One that did not say its power is.
 func (f *Fleet) runners() (n int, self bool) {
-	strongest := map[string]float64{f.self.Zone: f.self.Power}
+	strongest := map[string]float64{f.self.Zone: f.self.CPUs}
 	for _, m := range f.members {
-		strongest[m.instance.Zone] = max(strongest[m.instance.Zone], m.instance.Power)
+		strongest[m.instance.Zone] = max(strongest[m.instance.Zone], m.instance.CPUs)
 	}
-	runs := func(i Instance) bool { return i.Power <= 0 || strongest[i.Zone] < strongEnough*i.Power }
+	runs := func(i Instance) bool { return i.CPUs <= 0 || strongest[i.Zone] < strongEnough*i.CPUs }
 	for _, m := range f.members {
 		if runs(m.instance) {
 			n++
--- a/kernel/fleet/connections_test.go
+++ b/kernel/fleet/connections_test.go
@@ -14,7 +14,7 @@
 			if i >= 2 {
 				power = 0.192
 			}
-			out = append(out, Instance{Name: fmt.Sprintf("%s-%d", zone, i), Zone: zone, Power: power, Peer: "10.0.0.1:1", Mark: 1})
+			out = append(out, Instance{Name: fmt.Sprintf("%s-%d", zone, i), Zone: zone, CPUs: power, PeerAddress: "10.0.0.1:1", AnnouncementID: 1})
 		}
 	}
 	return out
@@ -24,21 +24,21 @@
 func TestConnections(t *testing.T) {
 	const limit, many, few = 53, 90, 20
 	for _, f := range fleets(unequal(18)) {
-		strong := f.self.Power > 0.5
-		got := f.Connections(limit, many)
+		strong := f.self.CPUs > 0.5
+		got := f.ConnectionShare(limit, many)
 		if strong && got != 5 || !strong && got != 1 {
 			t.Errorf("%s has %d connections a leaf, want 5 for a strong and 1 for a weak one", f.self.Name, got)
 		}
-		if got := f.Connections(limit, few); got != 1 {
+		if got := f.ConnectionShare(limit, few); got != 1 {
 			t.Errorf("%s has %d connections a leaf of few shards, want 1", f.self.Name, got)
 		}
 	}
 	for _, f := range fleets(zone("a", 8)) {
-		if got := f.Connections(26, many); got != 3 {
+		if got := f.ConnectionShare(26, many); got != 3 {
 			t.Errorf("one of 8 equal instances has %d of 26 connections, want 3", got)
 		}
 	}
-	if got := New(powered("s", "a", 0.8), settings).Connections(limit, many); got != 1 {
+	if got := New(powered("s", "a", 0.8), settings).ConnectionShare(limit, many); got != 1 {
 		t.Errorf("%d connections before the first list, want 1", got)
 	}
 }
@@ -64,8 +64,8 @@
 		}
 		sum := 0
 		for _, f := range fleets(list) {
-			if f.Shape().Runs {
-				sum += f.Connections(limit, shards)
+			if f.Composition().IsCoordinator {
+				sum += f.ConnectionShare(limit, shards)
 			}
 		}
 		if sum > limit {
@@ -76,23 +76,23 @@
 
 // powered is an instance with a power.
 func powered(name, zone string, power float64) Instance {
-	return Instance{Name: name, Zone: zone, Power: power, Peer: "10.0.0.1:1", Mark: 1}
+	return Instance{Name: name, Zone: zone, CPUs: power, PeerAddress: "10.0.0.1:1", AnnouncementID: 1}
 }
 
 // TestTransient checks whose share of a leaf's connections is less than one.
 func TestTransient(t *testing.T) {
 	const limit, many, few = 53, 90, 1
 	for _, f := range fleets(unequal(18)) {
-		strong := f.self.Power > 0.5
-		if got := f.Transient(limit, many); got == strong {
+		strong := f.self.CPUs > 0.5
+		if got := f.UsesTransientConnections(limit, many); got == strong {
 			t.Errorf("%s: %v for a large query", f.self.Name, got)
 		}
-		if !f.Transient(limit, few) || f.Transient(60, few) {
+		if !f.UsesTransientConnections(limit, few) || f.UsesTransientConnections(60, few) {
 			t.Errorf("%s: keeps one of 53 connections for 60 instances, or none of 60", f.self.Name)
 		}
 	}
 	for _, f := range fleets(zone("a", 8)) {
-		if f.Transient(26, many) {
+		if f.UsesTransientConnections(26, many) {
 			t.Error("one of 8 equal instances keeps none of 26 connections")
 		}
 	}
@@ -103,11 +103,11 @@
 	for _, f := range fleets(unequal(18)) {
 		got := f.Partners(start)
 		want := 2 // the strong ones of the zone
-		if f.self.Power > 0.5 {
+		if f.self.CPUs > 0.5 {
 			want = 4 // those of the other zones
 		}
 		for _, i := range got {
-			if i.Power < 0.5 || (i.Zone == f.self.Zone) == (f.self.Power > 0.5) {
+			if i.CPUs < 0.5 || (i.Zone == f.self.Zone) == (f.self.CPUs > 0.5) {
 				t.Errorf("%s hands over to %s", f.self.Name, i.Name)
 			}
 		}
--- a/kernel/fleet/fleet.go
+++ b/kernel/fleet/fleet.go
@@ -20,12 +20,12 @@
 type Instance struct {
 	Name string
 	Zone string
-	// Peer is the address at which other instances reach it, IP:port.
-	Peer string
-	// Power is the share of a core that it has; 0 when it did not say.
-	Power float64
-	// Mark changes with each announcement.
-	Mark uint64
+	// PeerAddress is the address at which other instances reach it, IP:port.
+	PeerAddress string
+	// CPUs is the share of a core that it has; 0 when it did not say.
+	CPUs float64
+	// AnnouncementID changes with each announcement.
+	AnnouncementID uint64
 }
 
 // Settings are the times that the fleet works with.
@@ -41,11 +41,11 @@
 	StalePeerBackoff time.Duration
 	// ListPropagationBound is the time within which every instance knows a new list.
 	ListPropagationBound time.Duration
-	// Span is the span of time that the limit on repeats holds for.
-	Span time.Duration
-	// HoldParts is for how long a smaller part of the fleet's repeats is kept; at least
+	// RepeatWindow is the span of time that the limit on repeats holds for.
+	RepeatWindow time.Duration
+	// ShareHoldTime is for how long a smaller part of the fleet's repeats is kept; at least
 	// ListPropagationBound and Span.
-	HoldParts time.Duration
+	ShareHoldTime time.Duration
 }
 
 // member is what is known of an instance.
@@ -67,7 +67,7 @@
 	// announced is this instance as the last list has it; the zero value: it has not.
 	announced Instance
 	seeds     seeds
-	shape     Shape
+	shape     Composition
 	slack     slack
 }
 
@@ -78,8 +78,8 @@
 	return f
 }
 
-// Listed takes the announcements as a read of the store had them that began at a time.
-func (f *Fleet) Listed(list []Instance, began time.Time) {
+// ApplyStoreList takes the announcements as a read of the store had them that began at a time.
+func (f *Fleet) ApplyStoreList(list []Instance, began time.Time) {
 	f.take(list, began, func(m *member, i Instance) {
 		if m.instance != i {
 			m.instance, m.announcedAt = i, began
@@ -92,9 +92,9 @@
 	f.noteSlack(began)
 }
 
-// Received takes the list that another instance has of a read of the store at a time. That
+// ApplyPeerList takes the list that another instance has of a read of the store at a time. That
 // one has forgotten who fell silent. A list older than the one in force is not taken.
-func (f *Fleet) Received(list []Instance, at time.Time) {
+func (f *Fleet) ApplyPeerList(list []Instance, at time.Time) {
 	if f.listed && !at.After(f.listedAt) {
 		return
 	}
@@ -103,8 +103,8 @@
 	f.noteSlack(at)
 }
 
-// Confirmed notes that the list in force was still that of a read of the store at a time.
-func (f *Fleet) Confirmed(at time.Time) {
+// ConfirmList notes that the list in force was still that of a read of the store at a time.
+func (f *Fleet) ConfirmList(at time.Time) {
 	if !f.listed || !at.After(f.listedAt) {
 		return
 	}
@@ -134,15 +134,15 @@
 	maps.DeleteFunc(f.members, func(name string, _ *member) bool { return !named[name] })
 }
 
-// ListedAt is when the read of the store began that shows the fleet; zero for never.
-func (f *Fleet) ListedAt() time.Time { return f.listedAt }
+// ListReadAt is when the read of the store began that shows the fleet; zero for never.
+func (f *Fleet) ListReadAt() time.Time { return f.listedAt }
 
-// Announced reports whether the list has this instance as it is.
-func (f *Fleet) Announced() bool { return f.announced.means(f.self) }
+// IsAnnounced reports whether the list has this instance as it is.
+func (f *Fleet) IsAnnounced() bool { return f.announced.means(f.self) }
 
-// List returns the instances as the last list had them, by name. This instance is on it
+// Instances returns the instances as the last list had them, by name. This instance is on it
 // only if it was on that one.
-func (f *Fleet) List() []Instance {
+func (f *Fleet) Instances() []Instance {
 	out := make([]Instance, 0, len(f.members)+1)
 	for _, m := range f.members {
 		out = append(out, m.instance)
@@ -156,19 +156,19 @@
 
 // means reports whether two announcements say the same of an instance.
 func (i Instance) means(o Instance) bool {
-	i.Mark = o.Mark
+	i.AnnouncementID = o.AnnouncementID
 	return i == o
 }
 
-// HashOf is a hash of a list that is ordered by name; marks don't change it. It is not 0.
-func HashOf(list []Instance) uint64 {
+// HashInstances is a hash of a list that is ordered by name; marks don't change it. It is not 0.
+func HashInstances(list []Instance) uint64 {
 	h := xxhash.New()
 	var buf []byte
 	for _, i := range list {
 		buf = append(buf[:0], i.Name...)
 		buf = append(append(buf, 0), i.Zone...)
-		buf = append(append(buf, 0), i.Peer...)
-		buf = strconv.AppendFloat(append(buf, 0), i.Power, 'g', -1, 64)
+		buf = append(append(buf, 0), i.PeerAddress...)
+		buf = strconv.AppendFloat(append(buf, 0), i.CPUs, 'g', -1, 64)
 		_, _ = h.Write(append(buf, 0)) // never fails
 	}
 	return max(h.Sum64(), 1)
@@ -192,9 +192,9 @@
 // on a fifth of one, a quarter of the shortest objective.
 const strongShards = 30
 
-// HandsOver reports whether a query over so many shards is handed to a stronger
+// ShouldForward reports whether a query over so many shards is handed to a stronger
 // instance, where there is one.
-func HandsOver(shards int) bool { return shards >= strongShards }
+func ShouldForward(shards int) bool { return shards >= strongShards }
 
 // strongEnough is how many times this instance's power another must have to be
 // handed a query: forwarding costs both of them about a tenth of what a query over
@@ -204,7 +204,7 @@
 // Stronger lists the instances of this zone that have far more power and are not
 // passed over, by name.
 func (f *Fleet) Stronger(now time.Time) []Instance {
-	if f.self.Power <= 0 {
+	if f.self.CPUs <= 0 {
 		return nil
 	}
 	var out []Instance
@@ -213,7 +213,7 @@
 		if m.instance.Zone != f.self.Zone || now.Before(m.backoffUntil) {
 			continue
 		}
-		if m.instance.Power >= strongEnough*f.self.Power {
+		if m.instance.CPUs >= strongEnough*f.self.CPUs {
 			out = append(out, m.instance)
 		}
 	}
@@ -227,7 +227,7 @@
 // zone, or, where there is none, those of other zones that gather parts for it.
 func (f *Fleet) Partners(now time.Time) []Instance {
 	out := f.Stronger(now)
-	if len(out) == 0 && f.shape.Runs {
+	if len(out) == 0 && f.shape.IsCoordinator {
 		zones := make(map[string]bool)
 		for _, m := range f.members {
 			zones[m.instance.Zone] = m.instance.Zone != f.self.Zone
@@ -252,17 +252,17 @@
 			continue
 		}
 		out = append(out, m.instance)
-		strongest = max(strongest, m.instance.Power)
+		strongest = max(strongest, m.instance.CPUs)
 	}
-	return slices.DeleteFunc(out, func(i Instance) bool { return i.Power*strongEnough <= strongest && strongest > 0 })
+	return slices.DeleteFunc(out, func(i Instance) bool { return i.CPUs*strongEnough <= strongest && strongest > 0 })
 }
 
 // outranks orders the instances alike everywhere: those of more power first, as reading the store
 // and sending what it holds to a zone takes processor time and a link that grow with the
 // configuration and the list of leaves, and the others by a hash.
 func (i Instance) outranks(o Instance) bool {
-	if i.Power != o.Power {
-		return i.Power > o.Power
+	if i.CPUs != o.CPUs {
+		return i.CPUs > o.CPUs
 	}
 	return i.hash() > o.hash()
 }
@@ -274,7 +274,7 @@
 func (f *Fleet) MarkStale(i Instance, now time.Time) {
 	m := f.members[i.Name]
 	if m == nil {
-		f.seeds.failed(i.Peer, now, f.settings.StalePeerBackoff)
+		f.seeds.failed(i.PeerAddress, now, f.settings.StalePeerBackoff)
 		return
 	}
 	m.staleUntil = now.Add(f.settings.StalePeerBackoff)
@@ -284,7 +284,7 @@
 func (f *Fleet) Failed(i Instance, now time.Time) {
 	m := f.members[i.Name]
 	if m == nil {
-		f.seeds.failed(i.Peer, now, f.settings.PeerBackoff)
+		f.seeds.failed(i.PeerAddress, now, f.settings.PeerBackoff)
 		return
 	}
 	pause := f.settings.PeerBackoff << min(m.failures, maxDoublings)
--- a/kernel/fleet/fleet_test.go
+++ b/kernel/fleet/fleet_test.go
@@ -8,14 +8,14 @@
 
 var (
 	start    = time.Unix(1000, 0)
-	settings = Settings{ForgetAfter: 45 * time.Second, PeerBackoff: 3 * time.Second, ListPropagationBound: 30 * time.Second, HoldParts: 30 * time.Second}
+	settings = Settings{ForgetAfter: 45 * time.Second, PeerBackoff: 3 * time.Second, ListPropagationBound: 30 * time.Second, ShareHoldTime: 30 * time.Second}
 )
 
 // zone returns n instances of one zone.
 func zone(name string, n int) []Instance {
 	var out []Instance
 	for i := range n {
-		out = append(out, Instance{Name: fmt.Sprintf("%s-%d", name, i), Zone: name, Peer: "10.0.0.1:1", Mark: 1})
+		out = append(out, Instance{Name: fmt.Sprintf("%s-%d", name, i), Zone: name, PeerAddress: "10.0.0.1:1", AnnouncementID: 1})
 	}
 	return out
 }
@@ -25,7 +25,7 @@
 	var out []*Fleet
 	for _, i := range list {
 		f := New(i, settings)
-		f.Listed(list, start)
+		f.ApplyStoreList(list, start)
 		out = append(out, f)
 	}
 	return out
@@ -40,7 +40,7 @@
 		if f.Size() != len(list) {
 			t.Fatalf("size %d, want %d", f.Size(), len(list))
 		}
-		r, role := f.Source(start)
+		r, role := f.SyncSource(start)
 		switch {
 		case role == RoleReader:
 			readers++
@@ -56,15 +56,15 @@
 // TestFailedReaderIsPassedOver lets the reader fail, and come back.
 func TestFailedReaderIsPassedOver(t *testing.T) {
 	for _, f := range fleets(zone("a", 3)) {
-		first, role := f.Source(start)
+		first, role := f.SyncSource(start)
 		if role == RoleReader {
 			continue
 		}
 		f.Failed(first, start)
-		if next, _ := f.Source(start); next.Name == first.Name {
+		if next, _ := f.SyncSource(start); next.Name == first.Name {
 			t.Errorf("%s asks a reader that failed", f.self.Name)
 		}
-		if again, _ := f.Source(start.Add(3 * time.Second)); again.Name != first.Name {
+		if again, _ := f.SyncSource(start.Add(3 * time.Second)); again.Name != first.Name {
 			t.Errorf("%s asks %s and not %s after the pause", f.self.Name, again.Name, first.Name)
 		}
 	}
@@ -77,15 +77,15 @@
 	if f.Size() <= len(list) {
 		t.Errorf("size %d before any list: limits would be spent too freely", f.Size())
 	}
-	f.Listed(list, start)
+	f.ApplyStoreList(list, start)
 	for s := time.Duration(0); s <= 50*time.Second; s += 10 * time.Second {
-		list[1].Mark++
-		f.Listed(list, start.Add(s))
+		list[1].AnnouncementID++
+		f.ApplyStoreList(list, start.Add(s))
 	}
 	if f.Size() != 2 {
 		t.Errorf("size %d, want 2: one instance has fallen silent", f.Size())
 	}
-	f.Listed(list[:1], start.Add(51*time.Second))
+	f.ApplyStoreList(list[:1], start.Add(51*time.Second))
 	if f.Size() != 1 {
 		t.Errorf("size %d, want 1: the other has withdrawn", f.Size())
 	}
--- a/kernel/fleet/search.go
+++ b/kernel/fleet/search.go
@@ -2,11 +2,11 @@
 
 import "math/bits"
 
-// SearchTurn is this instance's turn when the members of its zone search for one that the store
+// StoreSearchTurn is this instance's turn when the members of its zone search for one that the store
 // serves: 0 for the first, 1 for the last. Each round has twice the members of the round before, so
 // that a few reads find one in a usual outage, and every member has had its turn by a time that
 // does not depend on the size of the zone.
-func (f *Fleet) SearchTurn() float64 {
+func (f *Fleet) StoreSearchTurn() float64 {
 	rounds := bits.Len(uint(f.ZoneSize() - 1))
 	if rounds < 2 {
 		return 0
--- a/kernel/fleet/search_test.go
+++ b/kernel/fleet/search_test.go
@@ -11,8 +11,8 @@
 		got := make(map[float64]int)
 		for _, self := range list[:size] {
 			f := New(self, settings)
-			f.Listed(list, start)
-			got[f.SearchTurn()]++
+			f.ApplyStoreList(list, start)
+			got[f.StoreSearchTurn()]++
 		}
 		if len(got) != len(want) {
 			t.Errorf("a zone of %d: %d rounds, want %d", size, len(got), len(want))
--- a/kernel/fleet/slack.go
+++ b/kernel/fleet/slack.go
@@ -18,32 +18,32 @@
 	many, few float64
 }
 
-// Start is how an instance comes into the fleet.
-type Start uint8
+// JoinMode is how an instance comes into the fleet.
+type JoinMode uint8
 
 // The ways to start.
 const (
-	// StartFirst is with all others, for the first time: nobody has spent anything.
-	StartFirst Start = iota
-	// StartAgain is under a name that was announced before: the others count it, but
+	// JoinAtBootstrap is with all others, for the first time: nobody has spent anything.
+	JoinAtBootstrap JoinMode = iota
+	// JoinAfterRestart is under a name that was announced before: the others count it, but
 	// what it spent before it ended is forgotten, so it waits for a span of time.
-	StartAgain
-	// StartNew is under a name that the others do not know before each of them has read
+	JoinAfterRestart
+	// JoinAsNew is under a name that the others do not know before each of them has read
 	// the list again: they divide the whole among themselves until then.
-	StartNew
+	JoinAsNew
 )
 
-// Joined says that the store has this instance's announcement.
-func (f *Fleet) Joined(how Start, now time.Time) {
+// RecordJoin says that the store has this instance's announcement.
+func (f *Fleet) RecordJoin(how JoinMode, now time.Time) {
 	if !f.slack.from.IsZero() {
 		return
 	}
 	switch how {
-	case StartFirst:
+	case JoinAtBootstrap:
 		f.slack.from = now
-	case StartAgain:
-		f.slack.from = now.Add(f.settings.Span)
-	case StartNew:
+	case JoinAfterRestart:
+		f.slack.from = now.Add(f.settings.RepeatWindow)
+	case JoinAsNew:
 		f.slack.from = now.Add(f.settings.ListPropagationBound)
 	}
 }
@@ -51,21 +51,21 @@
 // noteSlack keeps the part by a list that was read at a time.
 func (f *Fleet) noteSlack(at time.Time) {
 	h := append(f.slack.history, slackPart{at: at, many: f.slackOf(strongShards), few: f.slackOf(1)})
-	for len(h) > 1 && at.Sub(h[1].at) >= f.settings.HoldParts {
+	for len(h) > 1 && at.Sub(h[1].at) >= f.settings.ShareHoldTime {
 		h = h[1:] // the next one has been in force all the while
 	}
 	f.slack.history = h
 }
 
-// RepeatSlack is this instance's part, in [0, 1], of the repeats of an upstream of so
+// RepeatAllowanceShare is this instance's part, in [0, 1], of the repeats of an upstream of so
 // many shards that the fleet may make without any request.
-func (f *Fleet) RepeatSlack(shards int, now time.Time) float64 {
+func (f *Fleet) RepeatAllowanceShare(shards int, now time.Time) float64 {
 	if f.slack.from.IsZero() || now.Before(f.slack.from) {
 		return 0
 	}
 	least := 1.0
 	for i, p := range f.slack.history {
-		if i+1 < len(f.slack.history) && now.Sub(f.slack.history[i+1].at) >= f.settings.HoldParts {
+		if i+1 < len(f.slack.history) && now.Sub(f.slack.history[i+1].at) >= f.settings.ShareHoldTime {
 			continue // over before the time that counts
 		}
 		least = min(least, p.of(shards))
@@ -78,7 +78,7 @@
 
 // of is the part for an upstream of so many shards.
 func (p slackPart) of(shards int) float64 {
-	if HandsOver(shards) {
+	if ShouldForward(shards) {
 		return p.many
 	}
 	return p.few
--- a/kernel/fleet/slack_test.go
+++ b/kernel/fleet/slack_test.go
@@ -37,8 +37,8 @@
 		for _, shards := range []int{many, few} {
 			sum := 0.0
 			for _, f := range fleets(tc.list) {
-				f.Joined(StartFirst, start)
-				sum += f.RepeatSlack(shards, start)
+				f.RecordJoin(JoinAtBootstrap, start)
+				sum += f.RepeatAllowanceShare(shards, start)
 			}
 			if sum > 1+1e-9 || sum < 0.85 {
 				t.Errorf("%s, %d shards: the parts add up to %.3f", tc.name, shards, sum)
@@ -46,9 +46,9 @@
 		}
 	}
 	f := fleets(unequal(18))
-	f[0].Joined(StartFirst, start)
-	f[2].Joined(StartFirst, start)
-	if strong, weak := f[0].RepeatSlack(many, start), f[2].RepeatSlack(many, start); strong < 0.099 || weak > 0.01 {
+	f[0].RecordJoin(JoinAtBootstrap, start)
+	f[2].RecordJoin(JoinAtBootstrap, start)
+	if strong, weak := f[0].RepeatAllowanceShare(many, start), f[2].RepeatAllowanceShare(many, start); strong < 0.099 || weak > 0.01 {
 		t.Errorf("a strong instance has %.3f and a weak one %.3f, want 0.1 and less than 0.01", strong, weak)
 	}
 }
@@ -57,29 +57,29 @@
 func TestSlackGrowsLate(t *testing.T) {
 	list := zone("a", 5)
 	f := New(list[0], settings)
-	if got := f.RepeatSlack(1, start); got != 0 {
+	if got := f.RepeatAllowanceShare(1, start); got != 0 {
 		t.Errorf("%v before the first list, want none", got)
 	}
-	f.Listed(list[:4], start)
-	if got := f.RepeatSlack(1, start); got != 0 {
+	f.ApplyStoreList(list[:4], start)
+	if got := f.RepeatAllowanceShare(1, start); got != 0 {
 		t.Errorf("%v before it is announced, want none", got)
 	}
-	f.Joined(StartNew, start)
+	f.RecordJoin(JoinAsNew, start)
 	at := func(after time.Duration, want float64) {
 		t.Helper()
-		if got := f.RepeatSlack(1, start.Add(after)); math.Abs(got-want) > 1e-9 {
+		if got := f.RepeatAllowanceShare(1, start.Add(after)); math.Abs(got-want) > 1e-9 {
 			t.Errorf("%v after %v, want %v", got, after, want)
 		}
 	}
 	at(29*time.Second, 0)
 	at(30*time.Second, 0.25)
 	for i := range list {
-		list[i].Mark++
+		list[i].AnnouncementID++
 	}
-	f.Listed(list[:3], start.Add(40*time.Second))
+	f.ApplyStoreList(list[:3], start.Add(40*time.Second))
 	at(69*time.Second, 0.25)
 	at(70*time.Second, 1.0/3)
-	f.Listed(list, start.Add(80*time.Second))
+	f.ApplyStoreList(list, start.Add(80*time.Second))
 	at(80*time.Second, 0.2)
 }
 
@@ -102,7 +102,7 @@
 		length = 150
 	)
 	rapid.Check(t, func(t *rapid.T) {
-		set := Settings{ForgetAfter: 180 * time.Second, ListPropagationBound: within * time.Second, Span: span * time.Second, HoldParts: within * time.Second}
+		set := Settings{ForgetAfter: 180 * time.Second, ListPropagationBound: within * time.Second, RepeatWindow: span * time.Second, ShareHoldTime: within * time.Second}
 		var all []*spender
 		store := map[string]Instance{} // announcements
 		list := func() (out []Instance) {
@@ -111,20 +111,20 @@
 			}
 			return out
 		}
-		begin := func(s *spender, how Start, now time.Time) {
+		begin := func(s *spender, how JoinMode, now time.Time) {
 			if _, known := store[s.instance.Name]; known {
-				how = StartAgain
+				how = JoinAfterRestart
 			}
 			store[s.instance.Name] = s.instance
 			s.fleet, s.alive = New(s.instance, set), true
-			s.fleet.Joined(how, now)
+			s.fleet.RecordJoin(how, now)
 			s.listDue = 0
 			s.spent = nil // it is forgotten
 		}
 		for i := range rapid.IntRange(1, 5).Draw(t, "instances") {
-			s := &spender{instance: Instance{Name: fmt.Sprint(i), Zone: "a", Mark: 1}}
+			s := &spender{instance: Instance{Name: fmt.Sprint(i), Zone: "a", AnnouncementID: 1}}
 			all = append(all, s)
-			begin(s, StartFirst, start)
+			begin(s, JoinAtBootstrap, start)
 		}
 		var spent [length]float64
 		for second := range length {
@@ -138,21 +138,21 @@
 			case what == 1 && s.alive: // killed
 				s.alive = false
 			case what == 2 && !s.alive:
-				begin(s, StartNew, now)
+				begin(s, JoinAsNew, now)
 			case what == 3 && len(all) < 8:
-				s := &spender{instance: Instance{Name: fmt.Sprint(len(all)), Zone: "a", Mark: 1}}
+				s := &spender{instance: Instance{Name: fmt.Sprint(len(all)), Zone: "a", AnnouncementID: 1}}
 				all = append(all, s)
-				begin(s, StartNew, now)
+				begin(s, JoinAsNew, now)
 			}
 			for _, s := range all {
 				if !s.alive {
 					continue
 				}
 				if second >= s.listDue {
-					s.fleet.Listed(list(), now)
+					s.fleet.ApplyStoreList(list(), now)
 					s.listDue = second + rapid.IntRange(1, within-1).Draw(t, "list")
 				}
-				spent[second] += s.spend(second, span, s.fleet.RepeatSlack(1, now))
+				spent[second] += s.spend(second, span, s.fleet.RepeatAllowanceShare(1, now))
 			}
 			total := 0.0
 			for i := max(0, second-span+1); i <= second; i++ {
--- a/kernel/fleet/sources.go
+++ b/kernel/fleet/sources.go
@@ -13,9 +13,9 @@
 const (
 	// RoleReader reads the store itself.
 	RoleReader Role = iota
-	// RoleLead asks the reader, for its zone. While the reader's state is old or it does
+	// RoleZoneLead asks the reader, for its zone. While the reader's state is old or it does
 	// not answer, a lead reads the store itself: there are as many as zones.
-	RoleLead
+	RoleZoneLead
 	// RoleMember asks the lead of its zone. It reads the store itself only when nobody
 	// of its zone answers, or now and then while all that they know is old.
 	RoleMember
@@ -28,11 +28,11 @@
 	return [...]string{"reader", "lead", "member", "newcomer"}[r]
 }
 
-// Source is the instance that this one learns from next, and as what it does so. A reader
+// SyncSource is the instance that this one learns from next, and as what it does so. A reader
 // has none to ask. Seeds don't ask each other before the list has them: somebody must read
 // the store.
-func (f *Fleet) Source(now time.Time) (Instance, Role) {
-	if !f.Announced() && !f.seeds.own {
+func (f *Fleet) SyncSource(now time.Time) (Instance, Role) {
+	if !f.IsAnnounced() && !f.seeds.own {
 		if seed, ok := f.seeds.next(now); ok {
 			return seed, RoleNewcomer
 		}
@@ -42,14 +42,14 @@
 		return lead, RoleMember
 	}
 	if head := f.first(now, func(Instance) bool { return true }); head.Name != f.self.Name {
-		return head, RoleLead
+		return head, RoleZoneLead
 	}
 	return Instance{}, RoleReader
 }
 
-// OtherLeads lists the leads of the other zones, of the highest rank first: whom a reader
+// OtherZoneLeads lists the leads of the other zones, of the highest rank first: whom a reader
 // or lead asks when its own read of the store fails.
-func (f *Fleet) OtherLeads(now time.Time) []Instance {
+func (f *Fleet) OtherZoneLeads(now time.Time) []Instance {
 	leads := make(map[string]Instance)
 	for _, m := range f.members {
 		i := m.instance
@@ -106,18 +106,18 @@
 func (f *Fleet) SetSeeds(addresses []string) {
 	f.seeds = seeds{backoffUntil: make(map[string]time.Time)}
 	for _, a := range addresses {
-		if a == f.self.Peer {
+		if a == f.self.PeerAddress {
 			f.seeds.own = true
 			continue
 		}
-		f.seeds.list = append(f.seeds.list, Instance{Peer: a})
+		f.seeds.list = append(f.seeds.list, Instance{PeerAddress: a})
 	}
 }
 
 // next is the first seed that is not passed over.
 func (s *seeds) next(now time.Time) (Instance, bool) {
 	for _, i := range s.list {
-		if !now.Before(s.backoffUntil[i.Peer]) {
+		if !now.Before(s.backoffUntil[i.PeerAddress]) {
 			return i, true
 		}
 	}
@@ -146,7 +146,7 @@
 func (f *Fleet) Seeds() []string {
 	out := make([]string, 0, len(f.seeds.list))
 	for _, i := range f.seeds.list {
-		out = append(out, i.Peer)
+		out = append(out, i.PeerAddress)
 	}
 	return out
 }
--- a/kernel/fleet/sources_test.go
+++ b/kernel/fleet/sources_test.go
@@ -11,15 +11,15 @@
 func TestNewcomerAsksSeeds(t *testing.T) {
 	list := zone("a", 4)
 	for i := range list {
-		list[i].Peer = "10.0.0." + string(rune('1'+i)) + ":1"
+		list[i].PeerAddress = "10.0.0." + string(rune('1'+i)) + ":1"
 	}
 	f := New(list[0], settings)
 	f.SetSeeds([]string{"10.0.9.1:1", "10.0.9.2:1"})
 	want := func(at time.Duration, peer string, role Role) Instance {
 		t.Helper()
-		i, got := f.Source(start.Add(at))
-		if i.Peer != peer || got != role {
-			t.Errorf("after %v: asks %q as %v, want %q as %v", at, i.Peer, got, peer, role)
+		i, got := f.SyncSource(start.Add(at))
+		if i.PeerAddress != peer || got != role {
+			t.Errorf("after %v: asks %q as %v, want %q as %v", at, i.PeerAddress, got, peer, role)
 		}
 		return i
 	}
@@ -27,18 +27,18 @@
 	f.Failed(want(0, "10.0.9.2:1", RoleNewcomer), start)
 	want(0, "", RoleReader)
 	want(settings.PeerBackoff, "10.0.9.1:1", RoleNewcomer)
-	f.Listed(list[1:], start)
-	if want(settings.PeerBackoff, "10.0.9.1:1", RoleNewcomer); f.Announced() {
+	f.ApplyStoreList(list[1:], start)
+	if want(settings.PeerBackoff, "10.0.9.1:1", RoleNewcomer); f.IsAnnounced() {
 		t.Error("is announced by a list without it")
 	}
-	f.Listed(list, start.Add(time.Second))
-	if _, role := f.Source(start.Add(time.Second)); role == RoleNewcomer || !f.Announced() {
+	f.ApplyStoreList(list, start.Add(time.Second))
+	if _, role := f.SyncSource(start.Add(time.Second)); role == RoleNewcomer || !f.IsAnnounced() {
 		t.Errorf("is a %v once it is on the list", role)
 	}
 	moved := slices.Clone(list)
-	moved[0].Peer = "10.0.0.99:1"
-	f.Listed(moved, start.Add(2*time.Second))
-	if f.Announced() {
+	moved[0].PeerAddress = "10.0.0.99:1"
+	f.ApplyStoreList(moved, start.Add(2*time.Second))
+	if f.IsAnnounced() {
 		t.Error("is announced by a list that has it at another address")
 	}
 }
@@ -48,8 +48,8 @@
 func TestSeedReadsTheStore(t *testing.T) {
 	list := zone("a", 1)
 	f := New(list[0], settings)
-	f.SetSeeds([]string{list[0].Peer, "10.0.9.2:1"})
-	if i, role := f.Source(start); role != RoleReader || !f.IsSeed() || len(f.Seeds()) != 1 {
+	f.SetSeeds([]string{list[0].PeerAddress, "10.0.9.2:1"})
+	if i, role := f.SyncSource(start); role != RoleReader || !f.IsSeed() || len(f.Seeds()) != 1 {
 		t.Errorf("a seed asks %v as %v before any list", i, role)
 	}
 }
@@ -59,26 +59,26 @@
 func TestListSpreadsBetweenInstances(t *testing.T) {
 	list := append(zone("a", 5), zone("b", 3)...)
 	first, second := New(list[0], settings), New(list[1], settings)
-	first.Listed(list, start)
-	sent := first.List()
-	if len(sent) != len(list) || HashOf(sent) != HashOf(first.List()) {
+	first.ApplyStoreList(list, start)
+	sent := first.Instances()
+	if len(sent) != len(list) || HashInstances(sent) != HashInstances(first.Instances()) {
 		t.Fatalf("sends %d instances, want %d", len(sent), len(list))
 	}
-	second.Received(sent, start)
-	if second.Size() != len(list) || !second.Announced() || HashOf(second.List()) != HashOf(sent) {
+	second.ApplyPeerList(sent, start)
+	if second.Size() != len(list) || !second.IsAnnounced() || HashInstances(second.Instances()) != HashInstances(sent) {
 		t.Errorf("a fleet of %d is received, want %d with the same hash", second.Size(), len(list))
 	}
-	second.Received(list[:2], start.Add(-time.Second))
+	second.ApplyPeerList(list[:2], start.Add(-time.Second))
 	if second.Size() != len(list) {
 		t.Error("an older list is taken")
 	}
-	second.Confirmed(start.Add(time.Minute))
-	if at := second.ListedAt(); !at.Equal(start.Add(time.Minute)) {
+	second.ConfirmList(start.Add(time.Minute))
+	if at := second.ListReadAt(); !at.Equal(start.Add(time.Minute)) {
 		t.Errorf("the list is of %v after it was confirmed", at)
 	}
 	marked := slices.Clone(sent)
-	marked[0].Mark = 77
-	if HashOf(marked) != HashOf(sent) {
+	marked[0].AnnouncementID = 77
+	if HashInstances(marked) != HashInstances(sent) {
 		t.Error("a mark changes the hash")
 	}
 }
@@ -87,11 +87,11 @@
 func TestSilentInstanceStaysForgotten(t *testing.T) {
 	list := zone("a", 3)
 	first, second := New(list[0], settings), New(list[1], settings)
-	first.Listed(list, start)
-	list[0].Mark++
-	list[1].Mark++
-	first.Listed(list, start.Add(settings.ForgetAfter))
-	second.Received(first.List(), start.Add(settings.ForgetAfter))
+	first.ApplyStoreList(list, start)
+	list[0].AnnouncementID++
+	list[1].AnnouncementID++
+	first.ApplyStoreList(list, start.Add(settings.ForgetAfter))
+	second.ApplyPeerList(first.Instances(), start.Add(settings.ForgetAfter))
 	if second.Size() != 2 {
 		t.Errorf("a fleet of %d, want 2: one is silent", second.Size())
 	}
@@ -103,7 +103,7 @@
 	set.MaxPeerBackoff = 10 * time.Second
 	list := zone("a", 2)
 	f := New(list[0], set)
-	f.Listed(list, start)
+	f.ApplyStoreList(list, start)
 	now := start
 	for _, pause := range []time.Duration{3, 6, 10, 10} {
 		f.Failed(list[1], now)
@@ -126,9 +126,9 @@
 	set.StalePeerBackoff = 3 * time.Second
 	list := []Instance{powered("weak", "a", 0.2), powered("strong", "a", 0.8)}
 	f := New(list[0], set)
-	f.Listed(list, start)
+	f.ApplyStoreList(list, start)
 	f.MarkStale(list[1], start)
-	if _, role := f.Source(start); role == RoleMember {
+	if _, role := f.SyncSource(start); role == RoleMember {
 		t.Error("an instance whose state is old is asked at once again")
 	}
 	if got := f.Stronger(start); len(got) != 1 {
@@ -140,13 +140,13 @@
 func TestOtherLeads(t *testing.T) {
 	list := append(append(zone("a", 5), zone("b", 3)...), zone("c", 4)...)
 	f := New(list[0], settings)
-	f.Listed(list, start)
-	leads := f.OtherLeads(start)
+	f.ApplyStoreList(list, start)
+	leads := f.OtherZoneLeads(start)
 	if len(leads) != 2 || leads[0].Zone == leads[1].Zone || leads[0].Zone == "a" || leads[1].Zone == "a" {
 		t.Fatalf("%v, want one instance of zone b and one of c", leads)
 	}
 	f.Failed(leads[0], start)
-	if next := f.OtherLeads(start); slices.Contains(next, leads[0]) || len(next) != 2 {
+	if next := f.OtherZoneLeads(start); slices.Contains(next, leads[0]) || len(next) != 2 {
 		t.Errorf("%v after one has failed, want another of its zone", next)
 	}
 	if f.ZoneSize() != 5 {
@@ -160,10 +160,10 @@
 	list := []Instance{powered("w1", "a", 0.2), powered("s1", "a", 0.8), powered("w2", "a", 0.2), powered("w3", "b", 0.2), powered("s2", "b", 0.8)}
 	for _, self := range list {
 		f := New(self, settings)
-		f.Listed(list, start)
-		from, role := f.Source(start)
-		strong := self.Power > 0.5
-		if strong == (role == RoleMember) || !strong && from.Power < 0.5 {
+		f.ApplyStoreList(list, start)
+		from, role := f.SyncSource(start)
+		strong := self.CPUs > 0.5
+		if strong == (role == RoleMember) || !strong && from.CPUs < 0.5 {
 			t.Errorf("%s is a %v and asks %s", self.Name, role, from.Name)
 		}
 	}
