--- a/kernel/fleet/connections.go
+++ b/kernel/fleet/connections.go
@@ -1,100 +1,104 @@
 package fleet
 
 const (
-	// runnersPart is the part of a limit that is divided among the instances which run
-	// the queries over many shards of all, and othersPart what the others share: they
-	// run their own while no stronger one takes them.
-	runnersPart = 0.6
-	othersPart  = 0.3
-	// The tenth that is left covers instances whose lists differ for a while: one that
-	// is gone counts until the next list, by which time another has its part.
+	// coordinatorsShare is the part of a limit that is divided among the coordinators: the
+	// instances that run the queries over many shards for the whole fleet. othersShare is
+	// divided among all others, which run their own queries while no stronger instance
+	// accepts them.
+	coordinatorsShare = 0.6
+	othersShare       = 0.3
+	// The remaining tenth covers the time in which instances hold different lists: one
+	// that is gone still counts by the old list while another has its share by the new one.
 )
 
-// ConnectionShare is this instance's share of the connections that one leaf takes from all
-// instances, at least one. Where a few strong instances run the queries over many
-// shards, an even share leaves most connections to instances that open none.
+// ConnectionShare is this instance's share of a leaf's connection limit, which all instances
+// divide; at least 1. Where a few strong instances run the queries over many shards, an
+// even share would leave most connections to instances that open none.
 func (f *Fleet) ConnectionShare(limit, shards int) int {
 	even := max(1, limit/f.Size())
-	if runners, self := f.concentrated(shards); self {
-		return max(even, int(runnersPart*float64(limit))/runners)
+	if coordinators, includesSelf := f.concentratedCoordinators(shards); includesSelf {
+		return max(even, int(coordinatorsShare*float64(limit))/coordinators)
 	}
 	return even
 }
 
-// UsesTransientConnections reports whether this instance's share of the connections that one leaf takes
-// from all instances is less than one: a fleet may be larger than the limit. One that keeps
-// a connection all the same would have the leaf refuse those of others.
+// UsesTransientConnections reports whether this instance's share of a leaf's connection limit
+// is less than one connection, because the fleet is larger than the limit. Such an instance
+// closes a connection after each exchange: if it kept one open, the leaf would refuse those
+// of other instances.
 func (f *Fleet) UsesTransientConnections(limit, shards int) bool {
-	runners, self := f.concentrated(shards)
+	coordinators, includesSelf := f.concentratedCoordinators(shards)
 	switch {
-	case runners == 0:
+	case coordinators == 0:
 		return limit < f.Size()
-	case self:
-		return int(runnersPart*float64(limit)) < runners
+	case includesSelf:
+		return int(coordinatorsShare*float64(limit)) < coordinators
 	default:
-		return int(othersPart*float64(limit)) < f.Size()-runners
+		return int(othersShare*float64(limit)) < f.Size()-coordinators
 	}
 }
 
-// slackOf is this instance's part, in (0, 1], of the repeats of an upstream of so many
-// shards that the fleet may make without any request, by the last list. Repeats are
-// made where the queries are run: an even part would leave most of them unused.
-func (f *Fleet) slackOf(shards int) float64 {
-	runners, self := f.concentrated(shards)
+// listedAllowanceShare is this instance's share, in (0, 1] and by the last list, of the
+// repeats that the fleet may send to an upstream of that many shards beyond those earned by
+// requests. The instances that run the queries send the repeats, so an even share would
+// leave most of the allowance unused.
+func (f *Fleet) listedAllowanceShare(shards int) float64 {
+	coordinators, includesSelf := f.concentratedCoordinators(shards)
 	switch {
-	case runners == 0:
+	case coordinators == 0:
 		return 1 / float64(f.Size())
-	case self:
-		return runnersPart / float64(runners)
+	case includesSelf:
+		return coordinatorsShare / float64(coordinators)
 	default:
-		return othersPart / float64(f.Size()-runners)
+		return othersShare / float64(f.Size()-coordinators)
 	}
 }
 
-// concentrated tells how many instances run the queries over so many shards of all,
-// and whether this one is among them; none where each runs its own.
-func (f *Fleet) concentrated(shards int) (runners int, self bool) {
-	if !f.listed || !ShouldForward(shards) {
+// concentratedCoordinators returns how many instances run the fleet's queries over that many
+// shards, and whether this one is among them. It returns 0 and false where each instance
+// runs its own queries.
+func (f *Fleet) concentratedCoordinators(shards int) (coordinators int, includesSelf bool) {
+	if !f.hasList || !ShouldForward(shards) {
 		return 0, false
 	}
-	if 2*f.shape.Coordinators > f.Size() {
+	if 2*f.composition.Coordinators > f.Size() {
 		return 0, false
 	}
-	return f.shape.Coordinators, f.shape.IsCoordinator
+	return f.composition.Coordinators, f.composition.IsCoordinator
 }
 
-// Composition is what the shares of the fleet's limits depend on.
+// Composition is what this instance's shares of the fleet-wide limits are computed from.
 type Composition struct {
-	// Size is the number of instances, and Coordinators of those that run the queries over
-	// many shards; Runs reports whether this one does.
+	// Size is the number of instances. Coordinators is the number of those that run
+	// queries over many shards, and IsCoordinator reports whether this instance does.
 	Size, Coordinators int
 	IsCoordinator      bool
 }
 
-// Composition returns the fleet's shape as far as it is known.
-func (f *Fleet) Composition() Composition { return f.shape }
+// Composition returns the composition of the fleet by the last list.
+func (f *Fleet) Composition() Composition { return f.composition }
 
-// reshape computes the shape, which is asked for with each request.
-func (f *Fleet) reshape() {
-	n, self := f.runners()
-	f.shape = Composition{Size: f.Size(), Coordinators: n, IsCoordinator: self}
+// updateComposition computes the composition once per list, as every request reads it.
+func (f *Fleet) updateComposition() {
+	n, includesSelf := f.countCoordinators()
+	f.composition = Composition{Size: f.Size(), Coordinators: n, IsCoordinator: includesSelf}
 }
 
-// runners counts the instances that have no far stronger one in their zone, and
-// reports whether this one is among them. One that did not say its power is.
-func (f *Fleet) runners() (n int, self bool) {
+// countCoordinators counts the instances without a far stronger one in their zone and
+// reports whether this one is among them. An instance that did not announce its CPUs counts.
+func (f *Fleet) countCoordinators() (n int, includesSelf bool) {
 	strongest := map[string]float64{f.self.Zone: f.self.CPUs}
 	for _, m := range f.members {
 		strongest[m.instance.Zone] = max(strongest[m.instance.Zone], m.instance.CPUs)
 	}
-	runs := func(i Instance) bool { return i.CPUs <= 0 || strongest[i.Zone] < strongEnough*i.CPUs }
+	isCoordinator := func(i Instance) bool { return i.CPUs <= 0 || strongest[i.Zone] < minCPURatio*i.CPUs }
 	for _, m := range f.members {
-		if runs(m.instance) {
+		if isCoordinator(m.instance) {
 			n++
 		}
 	}
-	if self = runs(f.self); self {
+	if includesSelf = isCoordinator(f.self); includesSelf {
 		n++
 	}
-	return n, self
+	return n, includesSelf
 }
--- a/kernel/fleet/fleet.go
+++ b/kernel/fleet/fleet.go
@@ -1,9 +1,10 @@
-// Package fleet knows the other instances and decides from whom to learn what the
-// platform's store holds. Reads of the store are priced, and bytes between zones
-// are too: one instance reads the store, one a zone asks that one, and the others
-// ask that of their zone. Nothing hangs on who it is: too many readers cost calls,
-// and one that is gone, frozen or itself without knowledge is noticed by the age of
-// what it sends.
+// Package fleet keeps the list of this system's instances and chooses the instance from
+// which this one synchronizes what the platform's store holds. Store reads and traffic
+// between zones are billed, so one instance reads the store, one instance in each other
+// zone synchronizes from the reader, and the rest from the one in their zone. The choice
+// needs no agreement: several readers at once only cost more calls, and a source that is
+// gone, stalled or out of date is recognized by the age of its state. The package also
+// computes this instance's shares of the limits that the whole fleet divides.
 package fleet
 
 import (
@@ -20,67 +21,70 @@
 type Instance struct {
 	Name string
 	Zone string
-	// PeerAddress is the address at which other instances reach it, IP:port.
+	// PeerAddress is where other instances reach it, IP:port.
 	PeerAddress string
-	// CPUs is the share of a core that it has; 0 when it did not say.
+	// CPUs is the number of cores, or the fraction of one, that it may use; 0: not announced.
 	CPUs float64
-	// AnnouncementID changes with each announcement.
+	// AnnouncementID changes with each announcement and shows that the instance is alive.
 	AnnouncementID uint64
 }
 
-// Settings are the times that the fleet works with.
+// Settings are the delays and lifetimes that a Fleet uses.
 type Settings struct {
 	// ForgetAfter is the time without an announcement after which an instance
 	// counts as gone.
 	ForgetAfter time.Duration
-	// PeerBackoff is the initial delay before an instance that failed is asked again; it
-	// doubles with each failure in a row up to MaxPeerBackoff.
+	// PeerBackoff is the initial delay before an instance that failed is asked again. It
+	// doubles with each consecutive failure, up to MaxPeerBackoff.
 	PeerBackoff, MaxPeerBackoff time.Duration
-	// StalePeerBackoff is the delay before an instance is synchronized from again when
-	// what it knows is old.
+	// StalePeerBackoff is the delay before this instance synchronizes again from one whose
+	// state was stale.
 	StalePeerBackoff time.Duration
-	// ListPropagationBound is the time within which every instance knows a new list.
+	// ListPropagationBound is the time within which every instance has a new list.
 	ListPropagationBound time.Duration
-	// RepeatWindow is the span of time that the limit on repeats holds for.
+	// RepeatWindow is the length of the window for which the fleet's limit on repeats
+	// (hedges and retries) holds.
 	RepeatWindow time.Duration
-	// ShareHoldTime is for how long a smaller part of the fleet's repeats is kept; at least
-	// ListPropagationBound and Span.
+	// ShareHoldTime is the delay before an increase of this instance's share of the repeats
+	// takes effect; at least ListPropagationBound and RepeatWindow.
 	ShareHoldTime time.Duration
 }
 
-// member is what is known of an instance.
+// member is the state of another instance.
 type member struct {
-	instance     Instance
-	announcedAt  time.Time // when its mark last changed
-	backoffUntil time.Time // until when it is passed over
-	failures     int       // in a row
-	staleUntil   time.Time // until when it is not synchronized from
+	instance         Instance
+	announcedAt      time.Time // time of the list in which its announcement last changed
+	backoffUntil     time.Time // until when it is not used at all
+	failures         int       // consecutive
+	syncBackoffUntil time.Time // until when it is not synchronized from
 }
 
-// Fleet is the state. It is used by one goroutine at a time.
+// Fleet is the list of instances as this instance knows it. It is not safe for concurrent
+// use.
 type Fleet struct {
-	settings Settings
-	self     Instance
-	members  map[string]*member
-	listed   bool
-	listedAt time.Time // when the read of the store began that shows the members
-	// announced is this instance as the last list has it; the zero value: it has not.
-	announced Instance
-	seeds     seeds
-	shape     Composition
-	slack     slack
+	settings   Settings
+	self       Instance
+	members    map[string]*member
+	hasList    bool
+	listReadAt time.Time // start of the store read that returned the list
+	// selfListed is this instance's entry on the last list; the zero value: not listed.
+	selfListed  Instance
+	seeds       seeds
+	composition Composition
+	allowance   allowanceShares
 }
 
 // New returns a fleet that knows only this instance.
 func New(self Instance, s Settings) *Fleet {
 	f := &Fleet{settings: s, self: self, members: make(map[string]*member)}
-	f.reshape()
+	f.updateComposition()
 	return f
 }
 
-// ApplyStoreList takes the announcements as a read of the store had them that began at a time.
+// ApplyStoreList replaces the list with the announcements from a store read that began at
+// the given time. It drops an instance that has not announced itself for ForgetAfter.
 func (f *Fleet) ApplyStoreList(list []Instance, began time.Time) {
-	f.take(list, began, func(m *member, i Instance) {
+	f.replaceMembers(list, began, func(m *member, i Instance) {
 		if m.instance != i {
 			m.instance, m.announcedAt = i, began
 		}
@@ -88,40 +92,43 @@
 	maps.DeleteFunc(f.members, func(_ string, m *member) bool {
 		return began.Sub(m.announcedAt) >= f.settings.ForgetAfter
 	})
-	f.reshape()
-	f.noteSlack(began)
+	f.updateComposition()
+	f.recordAllowanceShare(began)
 }
 
-// ApplyPeerList takes the list that another instance has of a read of the store at a time. That
-// one has forgotten who fell silent. A list older than the one in force is not taken.
+// ApplyPeerList replaces the list with another instance's, which stems from a store read
+// that began at the given time. The sender has dropped the instances that stopped
+// announcing themselves. A list that is not newer than the one in force is ignored.
 func (f *Fleet) ApplyPeerList(list []Instance, at time.Time) {
-	if f.listed && !at.After(f.listedAt) {
+	if f.hasList && !at.After(f.listReadAt) {
 		return
 	}
-	f.take(list, at, func(m *member, i Instance) { m.instance, m.announcedAt = i, at })
-	f.reshape()
-	f.noteSlack(at)
+	f.replaceMembers(list, at, func(m *member, i Instance) { m.instance, m.announcedAt = i, at })
+	f.updateComposition()
+	f.recordAllowanceShare(at)
 }
 
-// ConfirmList notes that the list in force was still that of a read of the store at a time.
+// ConfirmList notes that a store read that began at the given time returned the list in
+// force again.
 func (f *Fleet) ConfirmList(at time.Time) {
-	if !f.listed || !at.After(f.listedAt) {
+	if !f.hasList || !at.After(f.listReadAt) {
 		return
 	}
-	f.listedAt = at
+	f.listReadAt = at
 	for _, m := range f.members {
 		m.announcedAt = at
 	}
 }
 
-// take makes the members those of a list; note keeps what it says of one.
-func (f *Fleet) take(list []Instance, at time.Time, note func(*member, Instance)) {
-	f.listed, f.listedAt, f.announced = true, at, Instance{}
+// replaceMembers makes the members those of the list. It calls update with each listed
+// instance other than this one.
+func (f *Fleet) replaceMembers(list []Instance, at time.Time, update func(*member, Instance)) {
+	f.hasList, f.listReadAt, f.selfListed = true, at, Instance{}
 	named := make(map[string]bool, len(list))
 	for _, i := range list {
 		named[i.Name] = true
 		if i.Name == f.self.Name {
-			f.announced = i
+			f.selfListed = i
 			continue
 		}
 		m := f.members[i.Name]
@@ -129,38 +136,41 @@
 			m = &member{}
 			f.members[i.Name] = m
 		}
-		note(m, i)
+		update(m, i)
 	}
 	maps.DeleteFunc(f.members, func(name string, _ *member) bool { return !named[name] })
 }
 
-// ListReadAt is when the read of the store began that shows the fleet; zero for never.
-func (f *Fleet) ListReadAt() time.Time { return f.listedAt }
+// ListReadAt is when the store read began that returned the list in force; zero before the
+// first list.
+func (f *Fleet) ListReadAt() time.Time { return f.listReadAt }
 
-// IsAnnounced reports whether the list has this instance as it is.
-func (f *Fleet) IsAnnounced() bool { return f.announced.means(f.self) }
+// IsAnnounced reports whether the list has this instance with its present zone, address and
+// CPUs.
+func (f *Fleet) IsAnnounced() bool { return f.selfListed.sameExceptID(f.self) }
 
-// Instances returns the instances as the last list had them, by name. This instance is on it
-// only if it was on that one.
+// Instances returns the instances of the last list, ordered by name. This instance is among
+// them only if that list has it.
 func (f *Fleet) Instances() []Instance {
 	out := make([]Instance, 0, len(f.members)+1)
 	for _, m := range f.members {
 		out = append(out, m.instance)
 	}
-	if f.announced.Name != "" {
-		out = append(out, f.announced)
+	if f.selfListed.Name != "" {
+		out = append(out, f.selfListed)
 	}
 	slices.SortFunc(out, func(a, b Instance) int { return cmp.Compare(a.Name, b.Name) })
 	return out
 }
 
-// means reports whether two announcements say the same of an instance.
-func (i Instance) means(o Instance) bool {
+// sameExceptID reports whether two announcements differ at most in AnnouncementID.
+func (i Instance) sameExceptID(o Instance) bool {
 	i.AnnouncementID = o.AnnouncementID
 	return i == o
 }
 
-// HashInstances is a hash of a list that is ordered by name; marks don't change it. It is not 0.
+// HashInstances returns a hash of a list that is ordered by name; never 0. AnnouncementID
+// does not count.
 func HashInstances(list []Instance) uint64 {
 	h := xxhash.New()
 	var buf []byte
@@ -174,35 +184,35 @@
 	return max(h.Sum64(), 1)
 }
 
-// unlisted is the size that is assumed before the first list: limits that the
-// fleet shares are then spent as if it were large.
-const unlisted = 100
+// assumedSize is the size of the fleet that is assumed before the first list. It is large,
+// so that this instance's shares of the fleet's limits are small.
+const assumedSize = 100
 
-// Size is the number of instances, this one included. It errs to the high side,
-// which is the safe one for limits that the fleet shares.
+// Size is the number of instances, this one included. It is rather too high than too low,
+// so that the shares of the fleet's limits do not add up to more than the limits.
 func (f *Fleet) Size() int {
-	if !f.listed {
-		return unlisted
+	if !f.hasList {
+		return assumedSize
 	}
 	return len(f.members) + 1
 }
 
-// strongShards is the number of shards from which a query is handed to a stronger
-// instance of the zone. An exchange takes about 80 us of a core: 30 of them take 12 ms
-// on a fifth of one, a quarter of the shortest objective.
-const strongShards = 30
+// minForwardShards is the least number of shards at which a query is forwarded to a stronger
+// instance of the zone. An exchange with a leaf takes about 80 us of a core, so 30 exchanges
+// take 12 ms on a fifth of a core: a quarter of the shortest latency objective.
+const minForwardShards = 30
 
-// ShouldForward reports whether a query over so many shards is handed to a stronger
-// instance, where there is one.
-func ShouldForward(shards int) bool { return shards >= strongShards }
+// ShouldForward reports whether a query over that many shards is forwarded to a stronger
+// instance of the zone, where there is one.
+func ShouldForward(shards int) bool { return shards >= minForwardShards }
 
-// strongEnough is how many times this instance's power another must have to be
-// handed a query: forwarding costs both of them about a tenth of what a query over
-// many shards does.
-const strongEnough = 2
+// minCPURatio is how many times this instance's CPUs another one must have to count as
+// stronger. Forwarding costs each of the two about a tenth of the processor time of a query
+// over many shards, so a small difference does not pay for it.
+const minCPURatio = 2
 
-// Stronger lists the instances of this zone that have far more power and are not
-// passed over, by name.
+// Stronger lists the instances of this zone with at least minCPURatio times the CPUs of this
+// one that are not in backoff, ordered by name.
 func (f *Fleet) Stronger(now time.Time) []Instance {
 	if f.self.CPUs <= 0 {
 		return nil
@@ -213,21 +223,22 @@
 		if m.instance.Zone != f.self.Zone || now.Before(m.backoffUntil) {
 			continue
 		}
-		if m.instance.CPUs >= strongEnough*f.self.CPUs {
+		if m.instance.CPUs >= minCPURatio*f.self.CPUs {
 			out = append(out, m.instance)
 		}
 	}
 	return out
 }
 
-// maxPartners bounds the instances to which connections are kept open ahead.
+// maxPartners bounds the instances to which connections are opened ahead of need.
 const maxPartners = 16
 
-// Partners lists the instances to which this one hands over much: the stronger ones of its
-// zone, or, where there is none, those of other zones that gather parts for it.
+// Partners lists the instances to which this one often sends requests, so that connections
+// to them are kept open: the stronger ones of its zone, or, if it is a coordinator without
+// a stronger one, those of other zones that gather parts of its queries.
 func (f *Fleet) Partners(now time.Time) []Instance {
 	out := f.Stronger(now)
-	if len(out) == 0 && f.shape.IsCoordinator {
+	if len(out) == 0 && f.composition.IsCoordinator {
 		zones := make(map[string]bool)
 		for _, m := range f.members {
 			zones[m.instance.Zone] = m.instance.Zone != f.self.Zone
@@ -241,8 +252,9 @@
 	return out[:min(len(out), maxPartners)]
 }
 
-// Gatherers lists the instances of another zone that may gather parts for this one:
-// those that are not passed over and not far weaker than its strongest, by name.
+// Gatherers lists the instances of another zone that may gather parts of a query for this
+// one, ordered by name: those that are not in backoff and not far weaker than the strongest
+// of them.
 func (f *Fleet) Gatherers(zone string, now time.Time) []Instance {
 	var out []Instance
 	strongest := 0.0
@@ -254,48 +266,50 @@
 		out = append(out, m.instance)
 		strongest = max(strongest, m.instance.CPUs)
 	}
-	return slices.DeleteFunc(out, func(i Instance) bool { return i.CPUs*strongEnough <= strongest && strongest > 0 })
+	return slices.DeleteFunc(out, func(i Instance) bool { return i.CPUs*minCPURatio <= strongest && strongest > 0 })
 }
 
-// outranks orders the instances alike everywhere: those of more power first, as reading the store
-// and sending what it holds to a zone takes processor time and a link that grow with the
-// configuration and the list of leaves, and the others by a hash.
+// outranks reports whether i comes before o in the order that all instances use to choose
+// the reader and the zone leads. More CPUs come first: reading the store and sending its
+// content to a zone takes processor time and bandwidth that grow with the configuration and
+// the list of leaves. Instances with equal CPUs are ordered by a hash.
 func (i Instance) outranks(o Instance) bool {
 	if i.CPUs != o.CPUs {
 		return i.CPUs > o.CPUs
 	}
-	return i.hash() > o.hash()
+	return i.rankHash() > o.rankHash()
 }
 
-// hash places instances of the same power.
-func (i Instance) hash() uint64 { return xxhash.Sum64String(i.Zone + "\x00" + i.Name) }
+// rankHash orders instances with equal CPUs.
+func (i Instance) rankHash() uint64 { return xxhash.Sum64String(i.Zone + "\x00" + i.Name) }
 
-// MarkStale notes that an instance is well and its state missing or stale.
+// MarkStale notes that an instance answered, but that its state is missing or stale.
+// Synchronization avoids it for StalePeerBackoff; queries may still go to it.
 func (f *Fleet) MarkStale(i Instance, now time.Time) {
 	m := f.members[i.Name]
 	if m == nil {
-		f.seeds.failed(i.PeerAddress, now, f.settings.StalePeerBackoff)
+		f.seeds.backOff(i.PeerAddress, now, f.settings.StalePeerBackoff)
 		return
 	}
-	m.staleUntil = now.Add(f.settings.StalePeerBackoff)
+	m.syncBackoffUntil = now.Add(f.settings.StalePeerBackoff)
 }
 
-// Failed notes that an instance did not answer.
+// Failed notes that an instance did not answer and puts it into backoff.
 func (f *Fleet) Failed(i Instance, now time.Time) {
 	m := f.members[i.Name]
 	if m == nil {
-		f.seeds.failed(i.PeerAddress, now, f.settings.PeerBackoff)
+		f.seeds.backOff(i.PeerAddress, now, f.settings.PeerBackoff)
 		return
 	}
-	pause := f.settings.PeerBackoff << min(m.failures, maxDoublings)
-	m.backoffUntil = now.Add(max(min(pause, f.settings.MaxPeerBackoff), f.settings.PeerBackoff))
+	delay := f.settings.PeerBackoff << min(m.failures, maxBackoffDoublings)
+	m.backoffUntil = now.Add(max(min(delay, f.settings.MaxPeerBackoff), f.settings.PeerBackoff))
 	m.failures++
 }
 
-// maxDoublings bounds the doublings of a pause.
-const maxDoublings = 10
+// maxBackoffDoublings bounds the doublings of PeerBackoff.
+const maxBackoffDoublings = 10
 
-// Answered notes that an instance is well.
+// Answered notes that an instance answered, which resets its count of failures.
 func (f *Fleet) Answered(i Instance) {
 	if m := f.members[i.Name]; m != nil {
 		m.failures = 0
--- a/kernel/fleet/sources.go
+++ b/kernel/fleet/sources.go
@@ -6,54 +6,56 @@
 	"time"
 )
 
-// Role is an instance's place in the spread of what the store holds.
+// Role is an instance's place in the tree along which the store's content is distributed.
 type Role uint8
 
 // The roles.
 const (
 	// RoleReader reads the store itself.
 	RoleReader Role = iota
-	// RoleZoneLead asks the reader, for its zone. While the reader's state is old or it does
-	// not answer, a lead reads the store itself: there are as many as zones.
+	// RoleZoneLead synchronizes from the reader, on behalf of its zone. While the reader
+	// does not answer or its state is old, the lead reads the store itself: there are only
+	// as many leads as zones.
 	RoleZoneLead
-	// RoleMember asks the lead of its zone. It reads the store itself only when nobody
-	// of its zone answers, or now and then while all that they know is old.
+	// RoleMember synchronizes from the lead of its zone. It reads the store itself only
+	// when no instance of its zone answers, and at intervals while the state of all of
+	// them is old.
 	RoleMember
-	// RoleNewcomer asks the seeds, as the fleet's list does not have it yet.
+	// RoleNewcomer synchronizes from a seed, as it is not on the fleet's list yet.
 	RoleNewcomer
 )
 
-// String names the role in logs.
+// String returns the role's name for logs.
 func (r Role) String() string {
 	return [...]string{"reader", "lead", "member", "newcomer"}[r]
 }
 
-// SyncSource is the instance that this one learns from next, and as what it does so. A reader
-// has none to ask. Seeds don't ask each other before the list has them: somebody must read
-// the store.
+// SyncSource returns the instance from which this one synchronizes next, and the role in
+// which it does so; for RoleReader the instance is the zero value. A seed that is not on the
+// list yet does not ask the other seeds, as then none of them might read the store.
 func (f *Fleet) SyncSource(now time.Time) (Instance, Role) {
-	if !f.IsAnnounced() && !f.seeds.own {
-		if seed, ok := f.seeds.next(now); ok {
+	if !f.IsAnnounced() && !f.seeds.includesSelf {
+		if seed, ok := f.seeds.firstAvailable(now); ok {
 			return seed, RoleNewcomer
 		}
 	}
 	inZone := func(i Instance) bool { return i.Zone == f.self.Zone }
-	if lead := f.first(now, inZone); lead.Name != f.self.Name {
+	if lead := f.highestRanked(now, inZone); lead.Name != f.self.Name {
 		return lead, RoleMember
 	}
-	if head := f.first(now, func(Instance) bool { return true }); head.Name != f.self.Name {
-		return head, RoleZoneLead
+	if reader := f.highestRanked(now, func(Instance) bool { return true }); reader.Name != f.self.Name {
+		return reader, RoleZoneLead
 	}
 	return Instance{}, RoleReader
 }
 
-// OtherZoneLeads lists the leads of the other zones, of the highest rank first: whom a reader
-// or lead asks when its own read of the store fails.
+// OtherZoneLeads lists the leads of the other zones, the highest rank first. The reader or a
+// zone lead asks them when its own read of the store fails.
 func (f *Fleet) OtherZoneLeads(now time.Time) []Instance {
 	leads := make(map[string]Instance)
 	for _, m := range f.members {
 		i := m.instance
-		if i.Zone == f.self.Zone || now.Before(m.backoffUntil) || now.Before(m.staleUntil) {
+		if i.Zone == f.self.Zone || now.Before(m.backoffUntil) || now.Before(m.syncBackoffUntil) {
 			continue
 		}
 		if lead, ok := leads[i.Zone]; !ok || i.outranks(lead) {
@@ -79,12 +81,12 @@
 	return n
 }
 
-// first is the instance of the highest rank, this one included, that is among
-// those meant and can be synchronized from.
-func (f *Fleet) first(now time.Time, among func(Instance) bool) Instance {
+// highestRanked returns the highest-ranked instance among this one and those members that
+// include accepts and that can be synchronized from.
+func (f *Fleet) highestRanked(now time.Time, include func(Instance) bool) Instance {
 	best := f.self
 	for _, m := range f.members {
-		if !among(m.instance) || now.Before(m.backoffUntil) || now.Before(m.staleUntil) {
+		if !include(m.instance) || now.Before(m.backoffUntil) || now.Before(m.syncBackoffUntil) {
 			continue
 		}
 		if m.instance.outranks(best) {
@@ -94,28 +96,28 @@
 	return best
 }
 
-// seeds are the addresses of instances that the settings name. They may be old or down.
+// seeds are the instances whose addresses the settings name. An address may be out of date.
 type seeds struct {
-	list         []Instance // without names: the address stands for one
-	own          bool       // this instance is one of them
+	list         []Instance // with an address only
+	includesSelf bool       // this instance is a seed
 	backoffUntil map[string]time.Time
 }
 
-// SetSeeds sets the addresses at which an instance that knows no other finds some, in the
-// order in which they are asked.
+// SetSeeds sets the addresses from which an instance that knows no other one synchronizes
+// first, in the order in which they are asked.
 func (f *Fleet) SetSeeds(addresses []string) {
 	f.seeds = seeds{backoffUntil: make(map[string]time.Time)}
 	for _, a := range addresses {
 		if a == f.self.PeerAddress {
-			f.seeds.own = true
+			f.seeds.includesSelf = true
 			continue
 		}
 		f.seeds.list = append(f.seeds.list, Instance{PeerAddress: a})
 	}
 }
 
-// next is the first seed that is not passed over.
-func (s *seeds) next(now time.Time) (Instance, bool) {
+// firstAvailable returns the first seed that is not in backoff; false if there is none.
+func (s *seeds) firstAvailable(now time.Time) (Instance, bool) {
 	for _, i := range s.list {
 		if !now.Before(s.backoffUntil[i.PeerAddress]) {
 			return i, true
@@ -124,14 +126,14 @@
 	return Instance{}, false
 }
 
-// failed passes a seed over, by its address.
-func (s *seeds) failed(address string, now time.Time, pause time.Duration) {
+// backOff skips the seed with the address for the delay.
+func (s *seeds) backOff(address string, now time.Time, delay time.Duration) {
 	if s.backoffUntil != nil {
-		s.backoffUntil[address] = now.Add(pause)
+		s.backoffUntil[address] = now.Add(delay)
 	}
 }
 
-// Find is a member by its name.
+// Find returns the member with the name; false if there is none.
 func (f *Fleet) Find(name string) (Instance, bool) {
 	if m := f.members[name]; m != nil {
 		return m.instance, true
@@ -140,7 +142,7 @@
 }
 
 // IsSeed reports whether the settings name this instance as a seed.
-func (f *Fleet) IsSeed() bool { return f.seeds.own }
+func (f *Fleet) IsSeed() bool { return f.seeds.includesSelf }
 
 // Seeds lists the addresses of the seeds that are not this instance's own.
 func (f *Fleet) Seeds() []string {
