--- a/bench/capacity/fleet.go
+++ b/bench/capacity/fleet.go
@@ -34,7 +34,7 @@
 	m := membership.New(cfg)
 	m.Handle(membership.ListRead{Instances: instances(entries, 0)}, epoch)
 	for i := range cfg.MaxLeaving {
-		m.Handle(membership.SawLeaving{Leaf: fmt.Sprintf("data-%d-0", i)}, epoch)
+		m.Handle(membership.LeavingObserved{Leaf: fmt.Sprintf("data-%d-0", i)}, epoch)
 	}
 	for _, id := range entryNames(entries)[1:] {
 		m.Handle(membership.DigestReceived{Digest: &membership.Digest{Instance: id, Generation: 1, Hash: hash}}, epoch)
--- a/bench/capacity/spread.go
+++ b/bench/capacity/spread.go
@@ -70,7 +70,7 @@
 // run gives the change to one entry and follows it to the end. It returns when
 // the last entry that was reached by the push learnt it, and how many were.
 func (s *spread) run() (took time.Duration, reached int) {
-	s.give(0, membership.SawLeaving{Leaf: changedLeaf}, epoch)
+	s.give(0, membership.LeavingObserved{Leaf: changedLeaf}, epoch)
 	known := make([]bool, len(s.machines))
 	last := epoch
 	for s.mail.Len() > 0 {
--- a/entry/control/members.go
+++ b/entry/control/members.go
@@ -26,9 +26,9 @@
 		switch a := a.(type) {
 		case membership.SendDigest:
 			c.sendDigest(a.Peer)
-		case membership.PeerAhead:
+		case membership.GenerationReported:
 			c.roll(rollout.PeerAhead{Peer: a.Peer.Instance, Generation: a.Generation})
-		case membership.Changed:
+		case membership.MembershipChanged:
 			c.shares.follow(c.membership.Entries(), time.Now())
 			c.rollout.SetInstances(len(c.membership.Entries()))
 			c.publish()
@@ -110,7 +110,7 @@
 		Instance: d.Instance, Zone: c.cfg.Zone, Generation: current.Generation, Hash: current.Hash, Draining: d.Draining,
 	}
 	for _, l := range d.Leaving {
-		out.Leaving = append(out.Leaving, peerapi.LeavingLeaf{Leaf: l.Leaf, Born: l.Born, AgeMS: l.Age.Milliseconds()})
+		out.Leaving = append(out.Leaving, peerapi.LeavingLeaf{Leaf: l.Leaf, Born: l.StartedAtMS, AgeMS: l.Age.Milliseconds()})
 	}
 	for _, g := range d.Generations {
 		out.Generations = append(out.Generations, peerapi.InstanceGeneration{Instance: g.Instance, Generation: g.Generation, AgeMS: g.Age.Milliseconds()})
@@ -133,7 +133,7 @@
 func (c *Control) mergeDigest(d *peerapi.Digest) {
 	in := &membership.Digest{Instance: d.Instance, Generation: d.Generation, Hash: d.Hash, Draining: d.Draining}
 	for _, l := range d.Leaving[:min(len(d.Leaving), maxLeaving)] {
-		in.Leaving = append(in.Leaving, membership.LeavingLeaf{Leaf: l.Leaf, Born: l.Born, Age: age(l.AgeMS)})
+		in.Leaving = append(in.Leaving, membership.LeavingLeaf{Leaf: l.Leaf, StartedAtMS: l.Born, Age: age(l.AgeMS)})
 	}
 	for _, g := range d.Generations[:min(len(d.Generations), maxGenerations)] {
 		in.Generations = append(in.Generations, membership.RelayedGeneration{
@@ -178,13 +178,13 @@
 // does not wait: when too many marks are queued this one is dropped, and the leaf's next
 // reply brings it again. Any goroutine may call it.
 func (c *Control) SawLeaving(leafID string, born int64) {
-	c.sight(membership.SawLeaving{Leaf: leafID, Born: born})
+	c.sight(membership.LeavingObserved{Leaf: leafID, StartedAtMS: born})
 }
 
 // SawBorn takes a start of a leaf that was not known. One that is dropped costs at most
 // the life of a mark. Any goroutine may call it.
 func (c *Control) SawBorn(leafID string, born int64) {
-	c.sight(membership.SawBorn{Leaf: leafID, Born: born})
+	c.sight(membership.StartObserved{Leaf: leafID, StartedAtMS: born})
 }
 
 // sight hands over what replies showed, without waiting.
@@ -199,7 +199,7 @@
 // wait: the next round of digests tells it in any case. Any goroutine may call it.
 func (c *Control) SpreadNow() {
 	select {
-	case c.inbox <- func(time.Time) { c.member(membership.SpreadNow{}) }:
+	case c.inbox <- func(time.Time) { c.member(membership.PushNow{}) }:
 	default:
 	}
 }
--- a/entry/control/operators.go
+++ b/entry/control/operators.go
@@ -85,7 +85,7 @@
 		own := c.rollout.Current()
 		status.Highest = own.Generation
 		status.Instances = append(status.Instances, callerapi.InstanceConfig{Instance: c.cfg.Instance, Generation: own.Generation, Hash: own.Hash})
-		for _, g := range c.membership.Generations(now) {
+		for _, g := range c.membership.PeerStatuses(now) {
 			status.Highest = max(status.Highest, g.Generation)
 			status.Instances = append(status.Instances, callerapi.InstanceConfig{
 				Instance: g.Instance, Generation: g.Generation, Hash: g.Hash, AgeMS: g.Age.Milliseconds(),
--- a/entry/control/spread.go
+++ b/entry/control/spread.go
@@ -122,7 +122,7 @@
 func (c *Control) push(all bool) {
 	peers := c.membership.Peers()
 	if !all || len(peers) > pushAll {
-		c.member(membership.SpreadNow{})
+		c.member(membership.PushNow{})
 		return
 	}
 	for _, p := range peers {
--- a/kernel/membership/digest.go
+++ b/kernel/membership/digest.go
@@ -23,18 +23,18 @@
 func (m *Machine) digestLeaving(now time.Time) []LeavingLeaf {
 	var fresh, old []LeavingLeaf
 	for _, leaf := range slices.Sorted(maps.Keys(m.marks)) {
-		l := LeavingLeaf{Leaf: leaf, Born: m.marks[leaf].born, Age: now.Sub(m.marks[leaf].seen)}
+		l := LeavingLeaf{Leaf: leaf, StartedAtMS: m.marks[leaf].born, Age: now.Sub(m.marks[leaf].seen)}
 		switch {
 		case l.Age < m.cfg.FreshFor:
 			fresh = append(fresh, l)
-		case l.Age < m.cfg.MarkLife:
+		case l.Age < m.cfg.LeavingTTL:
 			old = append(old, l)
 		}
 	}
 	slices.SortStableFunc(fresh, func(a, b LeavingLeaf) int { return cmp.Compare(a.Age, b.Age) })
 	fresh = fresh[:min(len(fresh), m.cfg.MaxLeaving)]
 	m.rand.Shuffle(len(old), func(i, j int) { old[i], old[j] = old[j], old[i] })
-	return append(fresh, old[:min(len(old), m.cfg.MaxOld, m.cfg.MaxLeaving-len(fresh))]...)
+	return append(fresh, old[:min(len(old), m.cfg.MaxAgedLeaving, m.cfg.MaxLeaving-len(fresh))]...)
 }
 
 // digestGenerations relays a random sample of other instances' generations.
@@ -49,8 +49,8 @@
 	return out
 }
 
-// Generation is the generation in force at a peer, as last received.
-type Generation struct {
+// PeerStatus is the generation in force at a peer, as last received.
+type PeerStatus struct {
 	Instance   string
 	Generation uint64
 	Hash       string
@@ -58,12 +58,12 @@
 	Draining   bool
 }
 
-// Generations lists what is known of the peers, in order of instance.
-func (m *Machine) Generations(now time.Time) []Generation {
-	var out []Generation
+// PeerStatuses lists what is known of the peers, in order of instance.
+func (m *Machine) PeerStatuses(now time.Time) []PeerStatus {
+	var out []PeerStatus
 	for _, id := range slices.Sorted(maps.Keys(m.peers)) {
 		p := m.peers[id]
-		out = append(out, Generation{Instance: id, Generation: p.generation, Hash: p.hash, Age: now.Sub(p.seen), Draining: p.draining})
+		out = append(out, PeerStatus{Instance: id, Generation: p.generation, Hash: p.hash, Age: now.Sub(p.seen), Draining: p.draining})
 	}
 	return out
 }
--- a/kernel/membership/machine.go
+++ b/kernel/membership/machine.go
@@ -64,15 +64,15 @@
 	switch ev := ev.(type) {
 	case ListRead:
 		m.readList(ev.Instances)
-	case SawLeaving:
-		m.observed(ev.Leaf, ev.Born, now)
-	case SawBorn:
-		m.started(ev.Leaf, ev.Born, now)
+	case LeavingObserved:
+		m.observed(ev.Leaf, ev.StartedAtMS, now)
+	case StartObserved:
+		m.started(ev.Leaf, ev.StartedAtMS, now)
 	case DigestReceived:
 		m.receive(ev.Digest, now)
 	case PeerFailed:
 		delete(m.peers, ev.Peer)
-	case SpreadNow:
+	case PushNow:
 		m.push()
 	case Drain:
 		m.draining = true
@@ -132,7 +132,7 @@
 	if relayed.before(m.births[leaf].born) || (known && relayed.before(old.born)) {
 		return // of an earlier start
 	}
-	if now.Sub(seen) >= m.cfg.MarkLife || (known && !old.before(relayed.born) && !seen.After(old.seen.Add(relaySlack))) {
+	if now.Sub(seen) >= m.cfg.LeavingTTL || (known && !old.before(relayed.born) && !seen.After(old.seen.Add(relaySlack))) {
 		return
 	}
 	m.marks[leaf] = relayed
@@ -149,13 +149,13 @@
 	m.peers[d.Instance] = peerState{generation: d.Generation, hash: d.Hash, seen: now, direct: now, draining: d.Draining}
 	for _, l := range d.Leaving {
 		if l.Age >= 0 {
-			m.relayedMark(l.Leaf, mark{seen: now.Add(-l.Age), born: l.Born}, now)
+			m.relayedMark(l.Leaf, mark{seen: now.Add(-l.Age), born: l.StartedAtMS}, now)
 		}
 	}
 	for _, g := range d.Generations {
 		m.relayed(g, now)
 	}
-	m.act(PeerAhead{Peer: m.peer(d.Instance), Generation: d.Generation})
+	m.act(GenerationReported{Peer: m.peer(d.Instance), Generation: d.Generation})
 }
 
 // relayed takes in what a peer knows of another instance. It never replaces
@@ -166,7 +166,7 @@
 	}
 	seen := now.Add(-g.Age)
 	p := m.peers[g.Instance]
-	if !seen.After(p.seen) || g.Generation < p.generation || now.Sub(seen) > m.cfg.MarkLife {
+	if !seen.After(p.seen) || g.Generation < p.generation || now.Sub(seen) > m.cfg.LeavingTTL {
 		return
 	}
 	p.generation, p.seen = g.Generation, seen
@@ -175,9 +175,9 @@
 
 // tick starts a round when it is time, and forgets what is old.
 func (m *Machine) tick(now time.Time) {
-	maps.DeleteFunc(m.marks, func(_ string, k mark) bool { return now.Sub(k.seen) >= m.cfg.MarkLife })
-	maps.DeleteFunc(m.births, func(_ string, b birth) bool { return now.Sub(b.at) >= m.cfg.MarkLife })
-	maps.DeleteFunc(m.peers, func(_ string, p peerState) bool { return now.Sub(p.seen) >= m.cfg.MarkLife })
+	maps.DeleteFunc(m.marks, func(_ string, k mark) bool { return now.Sub(k.seen) >= m.cfg.LeavingTTL })
+	maps.DeleteFunc(m.births, func(_ string, b birth) bool { return now.Sub(b.at) >= m.cfg.LeavingTTL })
+	maps.DeleteFunc(m.peers, func(_ string, p peerState) bool { return now.Sub(p.seen) >= m.cfg.LeavingTTL })
 	if now.Before(m.next) {
 		return
 	}
@@ -227,7 +227,7 @@
 	leaving, entries := m.computeLeaving(now), m.computeEntries(now)
 	if !maps.Equal(leaving, m.leaving) || !slices.Equal(entries, m.entries) {
 		m.leaving, m.entries = leaving, entries
-		m.act(Changed{})
+		m.act(MembershipChanged{})
 	}
 	if m.next.IsZero() {
 		m.next = now
@@ -245,7 +245,7 @@
 		}
 	}
 	for leaf, k := range m.marks {
-		if now.Sub(k.seen) < m.cfg.MarkLife {
+		if now.Sub(k.seen) < m.cfg.LeavingTTL {
 			out[leaf] = true
 		}
 	}
@@ -262,7 +262,7 @@
 		}
 	}
 	for id, p := range m.peers {
-		if now.Sub(p.seen) < m.cfg.HeardLife {
+		if now.Sub(p.seen) < m.cfg.PeerTTL {
 			set[id] = true
 		}
 	}
--- a/kernel/membership/membership_test.go
+++ b/kernel/membership/membership_test.go
@@ -121,7 +121,7 @@
 	for _, n := range []int{2, 8, 64} {
 		f := newFleet(n, Instance{ID: "leaf"})
 		f.run(2 * time.Second)
-		f.give(0, SawLeaving{Leaf: "leaf"})
+		f.give(0, LeavingObserved{Leaf: "leaf"})
 		f.run(3 * time.Second)
 		if got := f.knowing("leaf"); got != n {
 			t.Errorf("%d of %d entries know it after 3 s", got, n)
@@ -135,7 +135,7 @@
 	for _, m := range f.machines {
 		m.cfg.PushFanout = 0
 	}
-	f.give(0, SawLeaving{Leaf: "leaf"})
+	f.give(0, LeavingObserved{Leaf: "leaf"})
 	f.run(10 * time.Second)
 	if got := f.knowing("leaf"); got != 8 {
 		t.Errorf("%d of 8 entries know it after 10 s of rounds", got)
@@ -146,7 +146,7 @@
 // nobody sees its mark any more, and takes it back at last.
 func TestMarkOutlivesTheListsLag(t *testing.T) {
 	f := newFleet(3, Instance{ID: "leaf"})
-	f.give(0, SawLeaving{Leaf: "leaf"})
+	f.give(0, LeavingObserved{Leaf: "leaf"})
 	f.run(30 * time.Second)
 	if got := f.knowing("leaf"); got != 3 {
 		t.Errorf("%d of 3 entries still know it after 30 s", got)
@@ -161,8 +161,8 @@
 // goes with it, so that it ends for all at the same time.
 func TestMarksDoNotKeepEachOtherAlive(t *testing.T) {
 	f := newFleet(8)
-	f.give(3, SawLeaving{Leaf: "leaf"})
-	f.run(DefaultConfig("", 0).MarkLife + 5*time.Second)
+	f.give(3, LeavingObserved{Leaf: "leaf"})
+	f.run(DefaultConfig("", 0).LeavingTTL + 5*time.Second)
 	if got := f.knowing("leaf"); got != 0 {
 		t.Errorf("%d entries keep a mark that nobody has seen for its whole life", got)
 	}
@@ -172,20 +172,20 @@
 // mark ends at each entry with the later birth, and no relayed mark brings it back.
 func TestLeafThatStartsAgainIsNotLeaving(t *testing.T) {
 	f := newFleet(8, Instance{ID: "leaf"})
-	f.give(0, SawLeaving{Leaf: "leaf", Born: 100})
+	f.give(0, LeavingObserved{Leaf: "leaf", StartedAtMS: 100})
 	f.run(5 * time.Second)
 	if got := f.knowing("leaf"); got != 8 {
 		t.Fatalf("%d of 8 entries know that it leaves", got)
 	}
 	for i := range 7 { // the last one has not asked it yet
-		f.give(i, SawBorn{Leaf: "leaf", Born: 200})
+		f.give(i, StartObserved{Leaf: "leaf", StartedAtMS: 200})
 	}
-	f.give(3, SawLeaving{Leaf: "leaf", Born: 100}) // a late word of the earlier start
+	f.give(3, LeavingObserved{Leaf: "leaf", StartedAtMS: 100}) // a late word of the earlier start
 	f.run(10 * time.Second)
 	if got := f.knowing("leaf"); got != 1 {
 		t.Errorf("%d entries hold it for leaving, want only the one that has not asked it", got)
 	}
-	f.give(2, SawLeaving{Leaf: "leaf", Born: 200})
+	f.give(2, LeavingObserved{Leaf: "leaf", StartedAtMS: 200})
 	f.run(3 * time.Second)
 	if got := f.knowing("leaf"); got != 8 {
 		t.Errorf("%d of 8 entries know that it leaves again", got)
@@ -198,17 +198,17 @@
 	m := New(DefaultConfig("a", 1))
 	at := epoch
 	give := func(ev Event) { m.Handle(ev, at) }
-	give(SawLeaving{Leaf: "leaf", Born: 200})
-	give(SawBorn{Leaf: "leaf", Born: 100})
+	give(LeavingObserved{Leaf: "leaf", StartedAtMS: 200})
+	give(StartObserved{Leaf: "leaf", StartedAtMS: 100})
 	if !m.Leaving("leaf") {
 		t.Error("an earlier birth took a drain back")
 	}
-	at = at.Add(DefaultConfig("", 0).MarkLife + time.Second)
+	at = at.Add(DefaultConfig("", 0).LeavingTTL + time.Second)
 	give(Tick{})
 	if m.Leaving("leaf") {
 		t.Error("the leaf is lost for longer than a mark lives")
 	}
-	give(SawLeaving{Leaf: "leaf", Born: 100})
+	give(LeavingObserved{Leaf: "leaf", StartedAtMS: 100})
 	if !m.Leaving("leaf") {
 		t.Error("a drain of the present start counts for nothing")
 	}
@@ -246,7 +246,7 @@
 	cfg := DefaultConfig("a", 1)
 	m := New(cfg)
 	for i := range 10 * cfg.MaxLeaving {
-		m.Handle(SawLeaving{Leaf: fmt.Sprintf("leaf-%d", i)}, epoch.Add(time.Duration(i)*time.Millisecond))
+		m.Handle(LeavingObserved{Leaf: fmt.Sprintf("leaf-%d", i)}, epoch.Add(time.Duration(i)*time.Millisecond))
 		m.Handle(DigestReceived{Digest: &Digest{Instance: name(i)}}, epoch)
 	}
 	d := m.Digest(epoch.Add(time.Second))
@@ -273,7 +273,7 @@
 				Age:        time.Duration(rapid.IntRange(-10, 5000).Draw(t, "age")) * time.Millisecond,
 			}
 			m.Handle(DigestReceived{Digest: &Digest{Instance: "b", Generations: []RelayedGeneration{g}}}, now)
-			for _, have := range m.Generations(now) {
+			for _, have := range m.PeerStatuses(now) {
 				if have.Instance != "b" && have.Generation < held[have.Instance] {
 					t.Fatalf("%s went back from %d to %d", have.Instance, held[have.Instance], have.Generation)
 				}
@@ -287,7 +287,7 @@
 func TestCutEntryHearsAgain(t *testing.T) {
 	f := newFleet(8, Instance{ID: "leaf"})
 	f.cut[7] = true
-	f.give(0, SawLeaving{Leaf: "leaf"})
+	f.give(0, LeavingObserved{Leaf: "leaf"})
 	f.run(5 * time.Second)
 	if f.machines[7].Leaving("leaf") {
 		t.Fatal("a cut entry heard")
@@ -304,10 +304,10 @@
 func TestOldMarksAreToldNowAndThen(t *testing.T) {
 	f := newFleet(1)
 	for i := range 200 {
-		f.give(0, SawLeaving{Leaf: fmt.Sprint(i)})
+		f.give(0, LeavingObserved{Leaf: fmt.Sprint(i)})
 	}
 	f.now = f.now.Add(20 * time.Second)
-	f.give(0, SawLeaving{Leaf: "fresh"})
+	f.give(0, LeavingObserved{Leaf: "fresh"})
 	told := make(map[string]bool)
 	for range 300 {
 		d := f.machines[0].Digest(f.now)
@@ -327,7 +327,7 @@
 // network, of whose delay the ages know nothing.
 func TestSlowRelaysDoNotKeepMarksAlive(t *testing.T) {
 	f := newFleet(2)
-	f.give(0, SawLeaving{Leaf: "a"})
+	f.give(0, LeavingObserved{Leaf: "a"})
 	begin := f.now
 	for f.machines[0].Leaving("a") {
 		for i := range f.machines {
@@ -349,7 +349,7 @@
 	f.run(2 * time.Second)
 	before := f.sent
 	for i := range 64 {
-		f.give(3, SawLeaving{Leaf: fmt.Sprint(i)})
+		f.give(3, LeavingObserved{Leaf: fmt.Sprint(i)})
 	}
 	f.run(time.Second)
 	for i := range 64 {
--- a/kernel/membership/messages.go
+++ b/kernel/membership/messages.go
@@ -27,9 +27,9 @@
 // LeavingLeaf is one leaf's mark with the age of its freshest observation, and the start of
 // the leaf that it is of; 0: not known.
 type LeavingLeaf struct {
-	Leaf string
-	Born int64
-	Age  time.Duration
+	Leaf        string
+	StartedAtMS int64
+	Age         time.Duration
 }
 
 // RelayedGeneration is another instance's generation with the age of the word.
@@ -45,18 +45,18 @@
 // ListRead gives the platform's list of instances.
 type ListRead struct{ Instances []Instance }
 
-// SawLeaving says that a leaf marked itself as leaving, in a reply or when asked.
+// LeavingObserved says that a leaf marked itself as leaving, in a reply or when asked.
 // Born is the start of the leaf, 0: not known.
-type SawLeaving struct {
-	Leaf string
-	Born int64
+type LeavingObserved struct {
+	Leaf        string
+	StartedAtMS int64
 }
 
-// SawBorn says that a leaf reported a start that was not known before, in Unix milliseconds
+// StartObserved says that a leaf reported a start that was not known before, in Unix milliseconds
 // of its own clock. A mark of an earlier start counts no more.
-type SawBorn struct {
-	Leaf string
-	Born int64
+type StartObserved struct {
+	Leaf        string
+	StartedAtMS int64
 }
 
 // DigestReceived gives a peer's digest.
@@ -65,8 +65,8 @@
 // PeerFailed says that a peer did not answer.
 type PeerFailed struct{ Peer string }
 
-// SpreadNow asks to tell some peers at once, for a change outside of this machine.
-type SpreadNow struct{}
+// PushNow asks to tell some peers at once, for a change outside of this machine.
+type PushNow struct{}
 
 // Drain says that this instance is leaving.
 type Drain struct{}
@@ -74,14 +74,14 @@
 // Tick says that a time asked for by WakeAt has passed.
 type Tick struct{}
 
-func (ListRead) isEvent()       {}
-func (SawLeaving) isEvent()     {}
-func (SawBorn) isEvent()        {}
-func (DigestReceived) isEvent() {}
-func (PeerFailed) isEvent()     {}
-func (SpreadNow) isEvent()      {}
-func (Drain) isEvent()          {}
-func (Tick) isEvent()           {}
+func (ListRead) isEvent()        {}
+func (LeavingObserved) isEvent() {}
+func (StartObserved) isEvent()   {}
+func (DigestReceived) isEvent()  {}
+func (PeerFailed) isEvent()      {}
+func (PushNow) isEvent()         {}
+func (Drain) isEvent()           {}
+func (Tick) isEvent()            {}
 
 // Action is an output of the machine.
 type Action interface{ isAction() }
@@ -89,11 +89,11 @@
 // SendDigest exchanges digests with a peer.
 type SendDigest struct{ Peer Peer }
 
-// Changed says that the set of leaving leaves or of entries is another.
-type Changed struct{}
+// MembershipChanged says that the set of leaving leaves or of entries is another.
+type MembershipChanged struct{}
 
-// PeerAhead tells the generation in force at a peer.
-type PeerAhead struct {
+// GenerationReported tells the generation in force at a peer.
+type GenerationReported struct {
 	Peer       Peer
 	Generation uint64
 }
@@ -101,10 +101,10 @@
 // WakeAt asks for a Tick at or after At; it replaces an earlier wish.
 type WakeAt struct{ At time.Time }
 
-func (SendDigest) isAction() {}
-func (Changed) isAction()    {}
-func (PeerAhead) isAction()  {}
-func (WakeAt) isAction()     {}
+func (SendDigest) isAction()         {}
+func (MembershipChanged) isAction()  {}
+func (GenerationReported) isAction() {}
+func (WakeAt) isAction()             {}
 
 // Peer is another entry.
 type Peer struct {
@@ -121,20 +121,20 @@
 	Fanout int
 	// PushFanout is the number of peers sent to at once.
 	PushFanout int
-	// MarkLife is how long a observation of a leaving leaf counts. It must be
+	// LeavingTTL is how long a observation of a leaving leaf counts. It must be
 	// longer than the list lags, since nobody sees the mark of a leaf that
 	// gets no work.
-	MarkLife time.Duration
+	LeavingTTL time.Duration
 	// FreshFor is how long a observation is sent in every digest.
 	FreshFor time.Duration
-	// HeardLife is how long a peer counts after its last digest.
-	HeardLife time.Duration
+	// PeerTTL is how long a peer counts after its last digest.
+	PeerTTL time.Duration
 	// MaxLeaving and MaxGenerations bound the lists of a digest.
 	MaxLeaving     int
 	MaxGenerations int
-	// MaxOld bounds the observations in a digest that are not fresh.
-	MaxOld int
-	Seed   uint64
+	// MaxAgedLeaving bounds the observations in a digest that are not fresh.
+	MaxAgedLeaving int
+	Seed           uint64
 }
 
 // DefaultConfig returns the settings for production.
@@ -142,8 +142,8 @@
 	return Config{
 		Instance: instance, Seed: seed,
 		Interval: time.Second, Fanout: 2, PushFanout: 4,
-		MarkLife: 2 * time.Minute, HeardLife: 5 * time.Second,
+		LeavingTTL: 2 * time.Minute, PeerTTL: 5 * time.Second,
 		FreshFor:   10 * time.Second,
-		MaxLeaving: 64, MaxGenerations: 16, MaxOld: 8,
+		MaxLeaving: 64, MaxGenerations: 16, MaxAgedLeaving: 8,
 	}
 }
