--- a/bench/burst/query.go
+++ b/bench/burst/query.go
@@ -161,7 +161,7 @@
 			delete(e.attempts, act.Ticket)
 			if !a.hedge {
 				a.query.late = true
-				e.repetition.Shed(e.now())
+				e.repetition.RecordShed(e.now())
 			}
 			e.lost(a, false)
 		case dispatch.WakeAt:
@@ -223,7 +223,7 @@
 	switch kind {
 	case replyShed:
 		outcome = dispatch.OutcomeShed
-		e.repetition.Shed(e.now())
+		e.repetition.RecordShed(e.now())
 	case replyDeadline:
 		outcome = dispatch.OutcomeDeclined
 	}
--- a/entry/executor/policies.go
+++ b/entry/executor/policies.go
@@ -87,7 +87,7 @@
 func (r *repetition) shed(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.policy.Shed(now)
+	r.policy.RecordShed(now)
 }
 
 // hedgeAfter gives the hedge delay of an upstream, by the indexes of the query's view.
--- a/kernel/dispatch/fake_test.go
+++ b/kernel/dispatch/fake_test.go
@@ -25,21 +25,21 @@
 
 type fakeRouting struct{}
 
-func (fakeRouting) Usable(key int, _ time.Time) bool                 { return !fakeEjected[key] }
-func (fakeRouting) Pick([]plugin.Candidate, time.Time) (int, string) { return 0, "first" }
-func (fakeRouting) Finished(int, plugin.Sample, time.Time)           {}
-func (fakeRouting) Hint(int, int, int, time.Time)                    {}
+func (fakeRouting) Usable(key int, _ time.Time) bool                  { return !fakeEjected[key] }
+func (fakeRouting) Pick([]plugin.Candidate, time.Time) (int, string)  { return 0, "first" }
+func (fakeRouting) RecordResult(int, plugin.AttemptResult, time.Time) {}
+func (fakeRouting) RecordLoadHint(int, int, int, time.Time)           {}
 
 type fakeOrder struct{}
 
-func (fakeOrder) Queued(float64, time.Time) {}
-func (fakeOrder) NewestFirst() bool         { return fakeNewest }
+func (fakeOrder) ObserveOldestWait(float64, time.Time) {}
+func (fakeOrder) NewestFirst() bool                    { return fakeNewest }
 
 type fakeLimit struct{ share int }
 
-func (l *fakeLimit) Limit() int                        { return l.share }
-func (l *fakeLimit) SetShare(share int)                { l.share = share }
-func (l *fakeLimit) Finished(plugin.Sample, time.Time) {}
+func (l *fakeLimit) Limit() int                                   { return l.share }
+func (l *fakeLimit) SetShare(share int)                           { l.share = share }
+func (l *fakeLimit) RecordResult(plugin.AttemptResult, time.Time) {}
 
 func TestMain(m *testing.M) {
 	flag.Parse()
--- a/kernel/dispatch/machine.go
+++ b/kernel/dispatch/machine.go
@@ -58,7 +58,7 @@
 		m.change(ev.View, now)
 	case LoadHint:
 		if l := m.byIndex[ev.Leaf]; l != nil {
-			m.routing.Hint(l.key, ev.InFlight, ev.Queued, now)
+			m.routing.RecordLoadHint(l.key, ev.InFlight, ev.Queued, now)
 		}
 	case SlowReported:
 		m.peersReported(ev.Leaves)
@@ -193,7 +193,7 @@
 
 // learn reports an attempt's end to the policies.
 func (m *Machine) learn(a *attempt, ev Finished, now time.Time) {
-	s := plugin.Sample{
+	s := plugin.AttemptResult{
 		OK:        ev.Outcome == OutcomeReply,
 		Shed:      ev.Outcome == OutcomeShed,
 		Failed:    ev.Outcome == OutcomeDialFailed || ev.Outcome == OutcomeBroken,
@@ -204,8 +204,8 @@
 		Saturated: a.saturated,
 		Backlog:   a.shard.queue.length > 0,
 	}
-	a.leaf.limit.Finished(s, now)
-	m.routing.Finished(a.leaf.key, s, now)
+	a.leaf.limit.RecordResult(s, now)
+	m.routing.RecordResult(a.leaf.key, s, now)
 	if s.OK || s.TimedOut {
 		a.shard.observe(ev.Latency) // either way it held its place for so long
 	}
--- a/kernel/dispatch/machine_test.go
+++ b/kernel/dispatch/machine_test.go
@@ -26,7 +26,7 @@
 		if !errors.As(err, &ce) || ce.Field != field {
 			t.Errorf("error %v, want one for %s", err, field)
 		}
-		var unknown *plugin.UnknownError
+		var unknown *plugin.UnknownPluginError
 		if cfg.View != nil && cfg.Upstream == 0 && !errors.As(err, &unknown) {
 			t.Errorf("error %v does not wrap the unknown plug-in", err)
 		}
--- a/kernel/dispatch/queue.go
+++ b/kernel/dispatch/queue.go
@@ -20,7 +20,7 @@
 	leaf     *leaf // set while running
 	hedge    bool
 	solo     bool
-	// saturated is plugin.Sample.Saturated, noted at dispatch.
+	// saturated is plugin.AttemptResult.Saturated, noted at dispatch.
 	saturated bool
 	queued    bool
 	late      bool // in rankQueue.late
--- a/kernel/dispatch/serve.go
+++ b/kernel/dispatch/serve.go
@@ -10,7 +10,7 @@
 // serve dispatches the shard's waiting attempts while leaves have room.
 func (m *Machine) serve(s *shard, now time.Time) {
 	m.demote(s, now)
-	s.order.Queued(s.queue.oldest(now), now)
+	s.order.ObserveOldestWait(s.queue.oldest(now), now)
 	for s.queue.length > 0 {
 		a, i, why := m.next(s, now)
 		if a == nil {
@@ -100,7 +100,7 @@
 			continue
 		}
 		m.candidates = append(m.candidates, plugin.Candidate{
-			Key: l.key, InFlight: l.inFlight, Limit: l.limit.Limit(), Local: l.local, Oldest: l.oldest(now),
+			Key: l.key, InFlight: l.inFlight, Limit: l.limit.Limit(), Local: l.local, OldestAge: l.oldest(now),
 		})
 		m.chosen = append(m.chosen, l)
 	}
--- a/kernel/dispatch/sharing.go
+++ b/kernel/dispatch/sharing.go
@@ -10,7 +10,7 @@
 // Observations returns what the routing policy saw since the last call that other
 // instances should know of. A policy that shares nothing gives none.
 func (m *Machine) Observations() []slowness.Observation {
-	sharer, ok := m.routing.(plugin.Sharer)
+	sharer, ok := m.routing.(plugin.ObservationSharer)
 	if !ok {
 		return nil
 	}
@@ -25,7 +25,7 @@
 	out := make([]slowness.Observation, 0, len(seen))
 	for _, s := range seen {
 		if id, ok := ids[s.Key]; ok {
-			out = append(out, slowness.Observation{Leaf: id, Took: s.Took, Slow: s.Slow, At: s.At})
+			out = append(out, slowness.Observation{Leaf: id, Took: s.Elapsed, Slow: s.Slow, At: s.At})
 		}
 	}
 	return out
@@ -62,8 +62,8 @@
 
 // comparable lists the candidates that are about as good as the best, which is first.
 func (m *Machine) comparable(now time.Time) []int {
-	if c, ok := m.routing.(plugin.Comparer); ok {
-		return c.Comparable(m.candidates, now)
+	if c, ok := m.routing.(plugin.NearBestLister); ok {
+		return c.NearBest(m.candidates, now)
 	}
 	i, _ := m.routing.Pick(m.candidates, now)
 	return []int{i}
@@ -71,7 +71,7 @@
 
 // peersReported passes the reports of other instances to the routing policy.
 func (m *Machine) peersReported(list []slowness.Slow) {
-	sharer, ok := m.routing.(plugin.Sharer)
+	sharer, ok := m.routing.(plugin.ObservationSharer)
 	if !ok {
 		return
 	}
--- a/kernel/plugin/policy.go
+++ b/kernel/plugin/policy.go
@@ -15,8 +15,8 @@
 	Combiners   = NewRegistry[func() Combiner]("combiner")
 )
 
-// Sample is the end of one dispatched attempt as policies see it.
-type Sample struct {
+// AttemptResult is the end of one dispatched attempt as policies see it.
+type AttemptResult struct {
 	// At most one of these is true; none is for an attempt that was cancelled
 	// or declined for another reason.
 	OK       bool // a whole reply came
@@ -44,8 +44,8 @@
 	InFlight int // attempts of this entry on the leaf
 	Limit    int // present limit of InFlight
 	Local    bool
-	// Oldest is for how long the oldest of them has been out, 0 without any.
-	Oldest time.Duration
+	// OldestAge is for how long the oldest of them has been out, 0 without any.
+	OldestAge time.Duration
 }
 
 // RoutingConfig is given to a routing policy's constructor.
@@ -62,42 +62,42 @@
 	// Pick returns the index of the chosen candidate and a short reason.
 	// There is at least one candidate.
 	Pick(candidates []Candidate, now time.Time) (int, string)
-	// Finished reports an attempt's end.
-	Finished(key int, s Sample, now time.Time)
-	// Hint passes on what the load endpoint said; it may lie or lag.
-	Hint(key, inFlight, queued int, now time.Time)
+	// RecordResult reports an attempt's end.
+	RecordResult(key int, s AttemptResult, now time.Time)
+	// RecordLoadHint passes on what the load endpoint said; it may lie or lag.
+	RecordLoadHint(key, inFlight, queued int, now time.Time)
 }
 
 // Observation is an outcome at a leaf that other instances should know of.
 type Observation struct {
 	Key int // Candidate.Key
-	// Took is how long the attempt took, or was out before it was given up.
-	Took time.Duration
+	// Elapsed is how long the attempt took, or was out before it was given up.
+	Elapsed time.Duration
 	// Slow says that this was far more than usual; else it shows that a leaf
 	// which was reported to be slow is not.
 	Slow bool
 	At   time.Time
 }
 
-// Sharer is a Routing that shares what it sees with other instances, and heeds them.
-type Sharer interface {
+// ObservationSharer is a Routing that shares what it sees with other instances, and heeds them.
+type ObservationSharer interface {
 	// Observations returns what was seen since the last call.
 	Observations() []Observation
 	// PeerReported takes another instance's report that a leaf took so long, at the given time.
 	PeerReported(key int, took time.Duration, at time.Time)
 }
 
-// Comparer is a Routing that tells which candidates are about as good as the best.
-type Comparer interface {
-	// Comparable returns their indexes, the best one first.
-	Comparable(candidates []Candidate, now time.Time) []int
+// NearBestLister is a Routing that tells which candidates are about as good as the best.
+type NearBestLister interface {
+	// NearBest returns their indexes, the best one first.
+	NearBest(candidates []Candidate, now time.Time) []int
 }
 
 // Order decides which end of a queue is served.
 type Order interface {
-	// Queued reports, at a moment of service, which share of its time the
+	// ObserveOldestWait reports, at a moment of service, which share of its time the
 	// oldest attempt has waited, in [0, 1].
-	Queued(oldest float64, now time.Time)
+	ObserveOldestWait(oldest float64, now time.Time)
 	// NewestFirst says that the newest query goes first.
 	NewestFirst() bool
 }
@@ -108,8 +108,8 @@
 	Limit() int
 	// SetShare gives the entry's connection share of the leaf.
 	SetShare(share int)
-	// Finished reports an attempt's end.
-	Finished(s Sample, now time.Time)
+	// RecordResult reports an attempt's end.
+	RecordResult(s AttemptResult, now time.Time)
 }
 
 // RepetitionConfig is given to a repetition policy's constructor; see
@@ -131,8 +131,8 @@
 	// TakeHedge and TakeRetry spend from the budgets; false means not now.
 	TakeHedge(now time.Time) bool
 	TakeRetry(now time.Time) bool
-	// Shed reports that a leaf or a queue refused work for overload.
-	Shed(now time.Time)
+	// RecordShed reports that a leaf or a queue refused work for overload.
+	RecordShed(now time.Time)
 }
 
 // Quantiler gives quantiles of an upstream's recent latency.
--- a/kernel/plugin/registry.go
+++ b/kernel/plugin/registry.go
@@ -9,15 +9,15 @@
 	"strings"
 )
 
-// UnknownError says that no plug-in of this kind has the name.
-type UnknownError struct {
+// UnknownPluginError says that no plug-in of this kind has the name.
+type UnknownPluginError struct {
 	Kind  string
 	Name  string
 	Known []string
 }
 
 // Error names the kind, the name and what is registered.
-func (e *UnknownError) Error() string {
+func (e *UnknownPluginError) Error() string {
 	return fmt.Sprintf("%s plug-in %q is unknown, want one of: %s", e.Kind, e.Name, strings.Join(e.Known, ", "))
 }
 
@@ -41,11 +41,11 @@
 	r.entries[name] = construct
 }
 
-// Get returns the constructor, or an UnknownError.
+// Get returns the constructor, or an UnknownPluginError.
 func (r *Registry[F]) Get(name string) (F, error) {
 	construct, ok := r.entries[name]
 	if !ok {
-		return construct, &UnknownError{Kind: r.kind, Name: name, Known: r.Names()}
+		return construct, &UnknownPluginError{Kind: r.kind, Name: name, Known: r.Names()}
 	}
 	return construct, nil
 }
--- a/kernel/plugin/registry_test.go
+++ b/kernel/plugin/registry_test.go
@@ -18,7 +18,7 @@
 		t.Fatalf("names %v", got)
 	}
 	_, err = r.Get("three")
-	var unknown *UnknownError
+	var unknown *UnknownPluginError
 	if !errors.As(err, &unknown) || unknown.Kind != "number" || unknown.Name != "three" || !slices.Equal(unknown.Known, r.Names()) {
 		t.Fatalf("error %v, want one that names what is known", err)
 	}
--- a/plugins/adaptivelimit/adaptivelimit.go
+++ b/plugins/adaptivelimit/adaptivelimit.go
@@ -49,8 +49,8 @@
 	p.limit = min(p.limit, float64(share))
 }
 
-// Finished adapts the limit.
-func (p *policy) Finished(s plugin.Sample, now time.Time) {
+// RecordResult adapts the limit.
+func (p *policy) RecordResult(s plugin.AttemptResult, now time.Time) {
 	if s.Shed {
 		p.limit = max(1, p.limit*shedCut)
 		return
@@ -68,7 +68,7 @@
 }
 
 // learn updates the averages.
-func (p *policy) learn(s plugin.Sample, now time.Time) {
+func (p *policy) learn(s plugin.AttemptResult, now time.Time) {
 	if s.Service <= 0 {
 		p.guess(s)
 		return
@@ -86,7 +86,7 @@
 // mean latency of the attempts that found room to spare, which wait least. The least
 // latency is no measure where requests differ: with work of 4 and 11 ms the limit fell to
 // 1 at moderate load, and the two or three instances that ask a leaf left its slots idle.
-func (p *policy) guess(s plugin.Sample) {
+func (p *policy) guess(s plugin.AttemptResult) {
 	latency := s.Latency.Seconds()
 	if p.service == 0 {
 		p.service = latency
--- a/plugins/adaptivelimit/adaptivelimit_test.go
+++ b/plugins/adaptivelimit/adaptivelimit_test.go
@@ -13,7 +13,7 @@
 func feed(p plugin.Limit, n int, wait, service time.Duration) {
 	for i := range n {
 		at := start.Add(time.Duration(i) * time.Millisecond)
-		p.Finished(plugin.Sample{OK: true, Latency: wait + service, Service: service, Saturated: true}, at)
+		p.RecordResult(plugin.AttemptResult{OK: true, Latency: wait + service, Service: service, Saturated: true}, at)
 	}
 }
 
@@ -44,7 +44,7 @@
 	feed(p, 1, time.Millisecond, 10*time.Millisecond)
 	feed(p, 300, 200*time.Millisecond, 10*time.Millisecond)
 	for range 300 {
-		p.Finished(plugin.Sample{OK: true, Latency: 11 * time.Millisecond, Service: 10 * time.Millisecond}, start)
+		p.RecordResult(plugin.AttemptResult{OK: true, Latency: 11 * time.Millisecond, Service: 10 * time.Millisecond}, start)
 	}
 	if p.Limit() != 1 {
 		t.Fatalf("limit %d grew without having been reached", p.Limit())
@@ -53,12 +53,12 @@
 
 func TestShedCutsTheLimit(t *testing.T) {
 	p := newLimit(8)
-	p.Finished(plugin.Sample{Shed: true}, start)
+	p.RecordResult(plugin.AttemptResult{Shed: true}, start)
 	if p.Limit() != 4 {
 		t.Fatalf("limit %d after a shed, want 4", p.Limit())
 	}
 	for range 10 {
-		p.Finished(plugin.Sample{Shed: true}, start)
+		p.RecordResult(plugin.AttemptResult{Shed: true}, start)
 	}
 	if p.Limit() != 1 {
 		t.Fatalf("limit %d, want never less than 1", p.Limit())
@@ -85,7 +85,7 @@
 		if i > 10 {
 			latency = 200 * time.Millisecond
 		}
-		p.Finished(plugin.Sample{OK: true, Latency: latency, Saturated: true}, start)
+		p.RecordResult(plugin.AttemptResult{OK: true, Latency: latency, Saturated: true}, start)
 	}
 	if p.Limit() != 1 {
 		t.Fatalf("limit %d although the latency rose twentyfold, want 1", p.Limit())
@@ -102,7 +102,7 @@
 		for i := range n {
 			latency := mixed[i%len(mixed)]*time.Millisecond + queued
 			// Two of three find that the limit is not reached, while there is no queue.
-			p.Finished(plugin.Sample{OK: true, Latency: latency, Saturated: queued > 0 || i%3 == 0}, start.Add(time.Duration(i)*time.Millisecond))
+			p.RecordResult(plugin.AttemptResult{OK: true, Latency: latency, Saturated: queued > 0 || i%3 == 0}, start.Add(time.Duration(i)*time.Millisecond))
 		}
 	}
 	run(300, 0)
--- a/plugins/adaptiveorder/adaptiveorder.go
+++ b/plugins/adaptiveorder/adaptiveorder.go
@@ -27,8 +27,8 @@
 // New returns an independent instance.
 func New() plugin.Order { return &policy{} }
 
-// Queued takes the share of its time that the oldest attempt has waited.
-func (p *policy) Queued(oldest float64, now time.Time) {
+// ObserveOldestWait takes the share of its time that the oldest attempt has waited.
+func (p *policy) ObserveOldestWait(oldest float64, now time.Time) {
 	if oldest <= target {
 		p.aboveSince, p.overloaded = time.Time{}, false
 		return
--- a/plugins/adaptiveorder/adaptiveorder_test.go
+++ b/plugins/adaptiveorder/adaptiveorder_test.go
@@ -8,21 +8,21 @@
 func TestStandingQueueTurnsTheOrder(t *testing.T) {
 	p := New()
 	at := func(ms int) time.Time { return time.Unix(1000, 0).Add(time.Duration(ms) * time.Millisecond) }
-	p.Queued(0.9, at(0))
-	p.Queued(0.9, at(99))
+	p.ObserveOldestWait(0.9, at(0))
+	p.ObserveOldestWait(0.9, at(99))
 	if p.NewestFirst() {
 		t.Fatal("newest first after less than the interval")
 	}
-	p.Queued(0.9, at(100))
+	p.ObserveOldestWait(0.9, at(100))
 	if !p.NewestFirst() {
 		t.Fatal("oldest first although the queue stood for the interval")
 	}
-	p.Queued(0.4, at(101))
+	p.ObserveOldestWait(0.4, at(101))
 	if p.NewestFirst() {
 		t.Fatal("newest first although the queue is short again")
 	}
-	p.Queued(0.9, at(150))
-	p.Queued(0.9, at(201)) // the interval starts anew
+	p.ObserveOldestWait(0.9, at(150))
+	p.ObserveOldestWait(0.9, at(201)) // the interval starts anew
 	if p.NewestFirst() {
 		t.Fatal("newest first after a queue that stood for 51 ms")
 	}
--- a/plugins/blindretry/blindretry.go
+++ b/plugins/blindretry/blindretry.go
@@ -29,5 +29,5 @@
 // TakeRetry always grants.
 func (policy) TakeRetry(time.Time) bool { return true }
 
-// Shed is ignored.
-func (policy) Shed(time.Time) {}
+// RecordShed is ignored.
+func (policy) RecordShed(time.Time) {}
--- a/plugins/budgeted/budgeted.go
+++ b/plugins/budgeted/budgeted.go
@@ -64,5 +64,5 @@
 // TakeRetry spends from the budget.
 func (p *policy) TakeRetry(now time.Time) bool { return p.budget.TakeRetry(now) }
 
-// Shed notes overload.
-func (p *policy) Shed(now time.Time) { p.lastShed, p.shed = now, true }
+// RecordShed notes overload.
+func (p *policy) RecordShed(now time.Time) { p.lastShed, p.shed = now, true }
--- a/plugins/budgeted/budgeted_test.go
+++ b/plugins/budgeted/budgeted_test.go
@@ -55,7 +55,7 @@
 		p.Deposit()
 	}
 	now := time.Unix(1000, 0)
-	p.Shed(now)
+	p.RecordShed(now)
 	if p.TakeHedge(now.Add(shedPause - 1)) {
 		t.Fatal("hedged shortly after a leaf shed")
 	}
--- a/plugins/fifo/fifo.go
+++ b/plugins/fifo/fifo.go
@@ -15,8 +15,8 @@
 // New returns an independent instance.
 func New() plugin.Order { return policy{} }
 
-// Queued is ignored.
-func (policy) Queued(float64, time.Time) {}
+// ObserveOldestWait is ignored.
+func (policy) ObserveOldestWait(float64, time.Time) {}
 
 // NewestFirst is always false.
 func (policy) NewestFirst() bool { return false }
--- a/plugins/fixedlimit/fixedlimit.go
+++ b/plugins/fixedlimit/fixedlimit.go
@@ -21,5 +21,5 @@
 // SetShare sets the connection share.
 func (p *policy) SetShare(share int) { p.share = share }
 
-// Finished is ignored.
-func (*policy) Finished(plugin.Sample, time.Time) {}
+// RecordResult is ignored.
+func (*policy) RecordResult(plugin.AttemptResult, time.Time) {}
--- a/plugins/internal/health/health.go
+++ b/plugins/internal/health/health.go
@@ -24,18 +24,18 @@
 	ejectMost   = 30 * time.Second
 )
 
-// FirstPause is the time between an ejection and the first probe.
-const FirstPause = time.Second
+// FirstProbeDelay is the time between an ejection and the first probe.
+const FirstProbeDelay = time.Second
 
 // Leaf decides on ejection from a leaf's own outcomes. The zero value is a leaf
 // of which nothing is known.
 type Leaf struct {
-	// Failures is the moving average of failure, in [0, 1].
-	Failures float64
-	ejected  bool
-	until    time.Time     // next probe
-	pause    time.Duration // time between probes
-	probing  bool
+	// FailureRate is the moving average of failure, in [0, 1].
+	FailureRate float64
+	ejected     bool
+	until       time.Time     // next probe
+	pause       time.Duration // time between probes
+	probing     bool
 }
 
 // Usable reports whether work may go to the leaf: it is not ejected, or its
@@ -44,8 +44,8 @@
 	return !h.ejected || (!h.probing && !now.Before(h.until))
 }
 
-// Probe notes that an attempt goes out and reports whether it is a probe.
-func (h *Leaf) Probe(now time.Time) bool {
+// StartProbe notes that an attempt goes out and reports whether it is a probe.
+func (h *Leaf) StartProbe(now time.Time) bool {
 	if !h.ejected || h.probing || now.Before(h.until) {
 		return false
 	}
@@ -53,18 +53,18 @@
 	return true
 }
 
-// Inconclusive ends a probe that showed nothing.
-func (h *Leaf) Inconclusive() { h.probing = false }
+// EndInconclusiveProbe ends a probe that showed nothing.
+func (h *Leaf) EndInconclusiveProbe() { h.probing = false }
 
-// Outcome takes one result and reports whether the leaf has just come back.
-func (h *Leaf) Outcome(failed bool, gain, others float64, now time.Time) bool {
-	h.Failures += gain * (value(failed) - h.Failures)
+// RecordOutcome takes one result and reports whether the leaf has just come back.
+func (h *Leaf) RecordOutcome(failed bool, gain, others float64, now time.Time) bool {
+	h.FailureRate += gain * (value(failed) - h.FailureRate)
 	if h.ejected {
 		return h.judge(failed, now)
 	}
-	if failed && h.Failures > ejectAt && h.Failures > others+ejectMargin {
+	if failed && h.FailureRate > ejectAt && h.FailureRate > others+ejectMargin {
 		h.ejected, h.probing = true, false
-		h.pause = FirstPause
+		h.pause = FirstProbeDelay
 		h.until = now.Add(h.pause)
 	}
 	return false
@@ -82,15 +82,15 @@
 		h.until = now.Add(h.pause)
 		return false
 	}
-	h.ejected, h.Failures = false, 0
+	h.ejected, h.FailureRate = false, 0
 	return true
 }
 
-// Gain is the weight of an outcome in the average of failure, 0 for one that
+// OutcomeWeight is the weight of an outcome in the average of failure, 0 for one that
 // shows nothing. A cancelled attempt shows something when it was late: a leaf
 // that swallows requests is otherwise hidden by the hedges that answer. mean is
 // the mean latency of all leaves in seconds, 0 while it is unknown.
-func Gain(s plugin.Sample, mean float64) float64 {
+func OutcomeWeight(s plugin.AttemptResult, mean float64) float64 {
 	switch {
 	case s.OK, s.Shed, s.Failed:
 		return failureGain
--- a/plugins/internal/health/peers.go
+++ b/plugins/internal/health/peers.go
@@ -6,22 +6,22 @@
 // against the others. The zero value has no leaf.
 type Peers struct{ failures float64 }
 
-// Outcome takes one result of a leaf, one of so many, and reports whether the leaf has
+// RecordOutcome takes one result of a leaf, one of so many, and reports whether the leaf has
 // just come back. A gain of 0 is an outcome that shows nothing.
-func (p *Peers) Outcome(leaf *Leaf, leaves int, failed bool, gain float64, now time.Time) bool {
+func (p *Peers) RecordOutcome(leaf *Leaf, leaves int, failed bool, gain float64, now time.Time) bool {
 	if gain == 0 {
-		leaf.Inconclusive()
+		leaf.EndInconclusiveProbe()
 		return false
 	}
-	before := leaf.Failures
+	before := leaf.FailureRate
 	others := (p.failures - before) / float64(max(1, leaves-1))
-	back := leaf.Outcome(failed, gain, others, now)
-	p.failures += leaf.Failures - before
+	back := leaf.RecordOutcome(failed, gain, others, now)
+	p.failures += leaf.FailureRate - before
 	return back
 }
 
-// Average moves a mean by one value, or begins it; 0 means that nothing is known.
-func Average(mean *float64, x, gain float64) {
+// UpdateMean moves a mean by one value, or begins it; 0 means that nothing is known.
+func UpdateMean(mean *float64, x, gain float64) {
 	if *mean == 0 {
 		*mean = x
 		return
--- a/plugins/nearest/nearest.go
+++ b/plugins/nearest/nearest.go
@@ -99,7 +99,7 @@
 	}
 	c := candidates[best]
 	switch {
-	case p.leaf(c.Key).health.Probe(now):
+	case p.leaf(c.Key).health.StartProbe(now):
 		return best, "probe"
 	case len(candidates) == 1:
 		return best, "only choice"
@@ -115,8 +115,8 @@
 // (100 ms).
 const about = 0.010 // seconds
 
-// Comparable implements plugin.Comparer.
-func (p *policy) Comparable(candidates []plugin.Candidate, now time.Time) []int {
+// NearBest implements plugin.NearBestLister.
+func (p *policy) NearBest(candidates []plugin.Candidate, now time.Time) []int {
 	best := 0
 	costs := make([]float64, len(candidates))
 	for i, c := range candidates {
@@ -139,10 +139,10 @@
 	l := p.leaf(c.Key)
 	delay := p.expected(l, now)
 	cost := delay * (1 + busyShare*float64(c.InFlight))
-	if oldest := c.Oldest.Seconds(); oldest > overdue*delay {
+	if oldest := c.OldestAge.Seconds(); oldest > overdue*delay {
 		cost = max(cost, oldest)
 	}
-	cost = cost / (1 - min(l.health.Failures, mostFailures)) * l.slow(now)
+	cost = cost / (1 - min(l.health.FailureRate, mostFailures)) * l.slow(now)
 	if !c.Local {
 		cost += crossing
 	}
@@ -167,20 +167,20 @@
 	return 1 + max(0, left)*(slowFactor-1)
 }
 
-// Finished teaches delay and health. An attempt that was cancelled, or that met
+// RecordResult teaches delay and health. An attempt that was cancelled, or that met
 // its deadline, took at least as long as it was out.
-func (p *policy) Finished(key int, s plugin.Sample, now time.Time) {
+func (p *policy) RecordResult(key int, s plugin.AttemptResult, now time.Time) {
 	l := p.leaf(key)
 	switch {
 	case s.OK:
 		l.unansweredAt = time.Time{}
 		p.learn(l, s.Latency.Seconds(), delayGain, now)
-		health.Average(&p.delay, s.Latency.Seconds(), poolGain)
+		health.UpdateMean(&p.delay, s.Latency.Seconds(), poolGain)
 	case s.Cancelled, s.TimedOut:
 		p.givenUp(l, s.Latency.Seconds(), now)
 	}
 	p.sight(key, s, now)
-	if p.peers.Outcome(&l.health, len(p.leaves), !s.OK, health.Gain(s, p.delay), now) {
+	if p.peers.RecordOutcome(&l.health, len(p.leaves), !s.OK, health.OutcomeWeight(s, p.delay), now) {
 		l.backAt = now
 	}
 }
@@ -206,7 +206,7 @@
 	if l.delay != 0 {
 		l.delay = p.expected(l, now)
 	}
-	health.Average(&l.delay, took, gain)
+	health.UpdateMean(&l.delay, took, gain)
 	l.learntAt = now
 }
 
@@ -223,14 +223,14 @@
 )
 
 // sight keeps an outcome that others should know of.
-func (p *policy) sight(key int, s plugin.Sample, now time.Time) {
+func (p *policy) sight(key int, s plugin.AttemptResult, now time.Time) {
 	if len(p.observations) >= mostObservations || p.delay == 0 {
 		return
 	}
-	seen := plugin.Observation{Key: key, Took: s.Latency, At: now}
+	seen := plugin.Observation{Key: key, Elapsed: s.Latency, At: now}
 	switch late := s.Latency.Seconds() > slowTimes*p.delay; {
 	case s.Failed:
-		seen.Took, seen.Slow = failedTook, true
+		seen.Elapsed, seen.Slow = failedTook, true
 	case late && (s.OK || s.Cancelled || s.TimedOut):
 		seen.Slow = true
 	case s.OK && now.Sub(p.leaf(key).reportedAt) < clearFor:
@@ -240,14 +240,14 @@
 	p.observations = append(p.observations, seen)
 }
 
-// Observations implements plugin.Sharer.
+// Observations implements plugin.ObservationSharer.
 func (p *policy) Observations() []plugin.Observation {
 	out := p.observations
 	p.observations = nil
 	return out
 }
 
-// PeerReported implements plugin.Sharer. What this instance has seen since counts more.
+// PeerReported implements plugin.ObservationSharer. What this instance has seen since counts more.
 func (p *policy) PeerReported(key int, took time.Duration, at time.Time) {
 	l := p.leaf(key)
 	if !at.After(l.learntAt) || !at.After(l.reportedAt) {
@@ -263,5 +263,5 @@
 // forgetSpread is by how much later some instances forget what they were sent.
 const forgetSpread = 1500 * time.Millisecond
 
-// Hint is not used: what load endpoints say lags.
-func (p *policy) Hint(int, int, int, time.Time) {}
+// RecordLoadHint is not used: what load endpoints say lags.
+func (p *policy) RecordLoadHint(int, int, int, time.Time) {}
--- a/plugins/nearest/nearest_test.go
+++ b/plugins/nearest/nearest_test.go
@@ -25,7 +25,7 @@
 }
 
 func reply(p plugin.Routing, key int, took time.Duration, now time.Time) {
-	p.Finished(key, plugin.Sample{OK: true, Latency: took}, now)
+	p.RecordResult(key, plugin.AttemptResult{OK: true, Latency: took}, now)
 }
 
 // pick returns the key chosen of both leaves.
@@ -56,31 +56,31 @@
 			reply(p, local, 108*time.Millisecond, start)
 		}, want: remote},
 		{name: "silent, given up twice", teach: func(p plugin.Routing) {
-			p.Finished(local, plugin.Sample{Cancelled: true, Latency: 40 * time.Millisecond}, start.Add(-200*time.Millisecond))
-			p.Finished(local, plugin.Sample{Cancelled: true, Latency: 40 * time.Millisecond}, start)
+			p.RecordResult(local, plugin.AttemptResult{Cancelled: true, Latency: 40 * time.Millisecond}, start.Add(-200*time.Millisecond))
+			p.RecordResult(local, plugin.AttemptResult{Cancelled: true, Latency: 40 * time.Millisecond}, start)
 		}, want: remote},
 		{name: "given up twice within a pause", teach: func(p plugin.Routing) {
-			p.Finished(local, plugin.Sample{Cancelled: true, Latency: 40 * time.Millisecond}, start.Add(-100*time.Millisecond))
-			p.Finished(local, plugin.Sample{Cancelled: true, Latency: 40 * time.Millisecond}, start)
+			p.RecordResult(local, plugin.AttemptResult{Cancelled: true, Latency: 40 * time.Millisecond}, start.Add(-100*time.Millisecond))
+			p.RecordResult(local, plugin.AttemptResult{Cancelled: true, Latency: 40 * time.Millisecond}, start)
 		}, want: local},
 		{name: "paused once, then well", teach: func(p plugin.Routing) {
-			p.Finished(local, plugin.Sample{Cancelled: true, Latency: 40 * time.Millisecond}, start.Add(-time.Second))
+			p.RecordResult(local, plugin.AttemptResult{Cancelled: true, Latency: 40 * time.Millisecond}, start.Add(-time.Second))
 			reply(p, local, 12*time.Millisecond, start.Add(-500*time.Millisecond))
-			p.Finished(local, plugin.Sample{Cancelled: true, Latency: 40 * time.Millisecond}, start)
+			p.RecordResult(local, plugin.AttemptResult{Cancelled: true, Latency: 40 * time.Millisecond}, start)
 		}, want: local},
 		{name: "known only from cancelled attempts", teach: func(p plugin.Routing) {
 			for range 3 {
-				p.Finished(local, plugin.Sample{Cancelled: true, Latency: 60 * time.Millisecond}, start)
+				p.RecordResult(local, plugin.AttemptResult{Cancelled: true, Latency: 60 * time.Millisecond}, start)
 			}
 		}, want: remote},
 		{name: "slow some time ago", teach: func(p plugin.Routing) {
 			reply(p, local, 108*time.Millisecond, start)
 			reply(p, local, 108*time.Millisecond, start)
 		}, now: start.Add(5 * time.Second), want: local},
-		{name: "paused", local: func(c *plugin.Candidate) { c.InFlight, c.Oldest = 1, 45*time.Millisecond }, want: remote},
+		{name: "paused", local: func(c *plugin.Candidate) { c.InFlight, c.OldestAge = 1, 45*time.Millisecond }, want: remote},
 		{name: "fails", teach: func(p plugin.Routing) {
 			for range 2 {
-				p.Finished(local, plugin.Sample{Failed: true}, start)
+				p.RecordResult(local, plugin.AttemptResult{Failed: true}, start)
 			}
 		}, want: remote},
 	} {
@@ -103,7 +103,7 @@
 	now := time.Unix(1000, 0)
 	p := fixture(now)
 	for range 4 {
-		p.Finished(local, plugin.Sample{Failed: true}, now)
+		p.RecordResult(local, plugin.AttemptResult{Failed: true}, now)
 	}
 	if p.Usable(local, now) {
 		t.Fatal("a leaf that failed four times in a row is still usable")
@@ -129,10 +129,10 @@
 		reply(p, fast, 11*time.Millisecond, start)
 	}
 	candidates := []plugin.Candidate{{Key: slow}, {Key: remote}, {Key: fast}}
-	if got := p.(plugin.Comparer).Comparable(candidates, start); !slices.Equal(got, []int{2, 1}) {
+	if got := p.(plugin.NearBestLister).NearBest(candidates, start); !slices.Equal(got, []int{2, 1}) {
 		t.Errorf("comparable %v, want the fast one and the other, and not the slow one", got)
 	}
-	if got := p.(plugin.Comparer).Comparable(append(candidates, plugin.Candidate{Key: local, Local: true}), start); !slices.Equal(got, []int{3}) {
+	if got := p.(plugin.NearBestLister).NearBest(append(candidates, plugin.Candidate{Key: local, Local: true}), start); !slices.Equal(got, []int{3}) {
 		t.Errorf("comparable %v, want the one of the own zone alone", got)
 	}
 }
--- a/plugins/nohedge/nohedge.go
+++ b/plugins/nohedge/nohedge.go
@@ -27,5 +27,5 @@
 // TakeRetry refuses.
 func (policy) TakeRetry(time.Time) bool { return false }
 
-// Shed is ignored.
-func (policy) Shed(time.Time) {}
+// RecordShed is ignored.
+func (policy) RecordShed(time.Time) {}
--- a/plugins/objective/objective.go
+++ b/plugins/objective/objective.go
@@ -43,5 +43,5 @@
 // TakeRetry leaves the bound to the shards' limits.
 func (p *policy) TakeRetry(time.Time) bool { return true }
 
-// Shed notes overload.
-func (p *policy) Shed(now time.Time) { p.lastShed = now }
+// RecordShed notes overload.
+func (p *policy) RecordShed(now time.Time) { p.lastShed = now }
--- a/plugins/roundrobin/roundrobin.go
+++ b/plugins/roundrobin/roundrobin.go
@@ -25,8 +25,8 @@
 	return p.next % len(candidates), "in turn"
 }
 
-// Finished is ignored.
-func (*policy) Finished(int, plugin.Sample, time.Time) {}
+// RecordResult is ignored.
+func (*policy) RecordResult(int, plugin.AttemptResult, time.Time) {}
 
-// Hint is ignored.
-func (*policy) Hint(int, int, int, time.Time) {}
+// RecordLoadHint is ignored.
+func (*policy) RecordLoadHint(int, int, int, time.Time) {}
--- a/plugins/twochoices/twochoices.go
+++ b/plugins/twochoices/twochoices.go
@@ -80,7 +80,7 @@
 
 // picked notes a probe of an ejected leaf.
 func (p *policy) picked(key int, why string, now time.Time) string {
-	if p.leaf(key).health.Probe(now) {
+	if p.leaf(key).health.StartProbe(now) {
 		return "probe"
 	}
 	return why
@@ -95,7 +95,7 @@
 	if mean == 0 {
 		mean = p.mean
 	}
-	cost := float64(c.InFlight+1) * mean / (1 - min(l.health.Failures, mostFailures))
+	cost := float64(c.InFlight+1) * mean / (1 - min(l.health.FailureRate, mostFailures))
 	if !c.Local {
 		cost *= remoteFactor
 	}
@@ -114,24 +114,24 @@
 	return 1 + max(0, left)*(slowFactor-1)
 }
 
-// Finished teaches latency and health.
-func (p *policy) Finished(key int, s plugin.Sample, now time.Time) {
+// RecordResult teaches latency and health.
+func (p *policy) RecordResult(key int, s plugin.AttemptResult, now time.Time) {
 	l := p.leaf(key)
 	if s.OK {
-		health.Average(&l.mean, s.Latency.Seconds(), latencyGain)
-		health.Average(&p.mean, s.Latency.Seconds(), latencyGain)
+		health.UpdateMean(&l.mean, s.Latency.Seconds(), latencyGain)
+		health.UpdateMean(&p.mean, s.Latency.Seconds(), latencyGain)
 	}
-	gain := health.Gain(s, p.mean)
+	gain := health.OutcomeWeight(s, p.mean)
 	if s.Cancelled && gain > 0 {
-		health.Average(&l.mean, s.Latency.Seconds(), latencyGain) // it took at least that long
+		health.UpdateMean(&l.mean, s.Latency.Seconds(), latencyGain) // it took at least that long
 	}
-	if p.peers.Outcome(&l.health, len(p.leaves), !s.OK, gain, now) {
+	if p.peers.RecordOutcome(&l.health, len(p.leaves), !s.OK, gain, now) {
 		l.slowFrom = now
 	}
 }
 
-// Hint keeps the load endpoint's word as a bounded nudge.
-func (p *policy) Hint(key, _, queued int, now time.Time) {
+// RecordLoadHint keeps the load endpoint's word as a bounded nudge.
+func (p *policy) RecordLoadHint(key, _, queued int, now time.Time) {
 	l := p.leaf(key)
 	l.hinted, l.hintedAt = queued, now
 }
--- a/plugins/twochoices/twochoices_test.go
+++ b/plugins/twochoices/twochoices_test.go
@@ -30,12 +30,14 @@
 	return n
 }
 
-func ok(latency time.Duration) plugin.Sample { return plugin.Sample{OK: true, Latency: latency} }
+func ok(latency time.Duration) plugin.AttemptResult {
+	return plugin.AttemptResult{OK: true, Latency: latency}
+}
 
 func TestPickPrefersTheCheaper(t *testing.T) {
 	p := newPolicy()
-	p.Finished(0, ok(20*time.Millisecond), start)
-	p.Finished(1, ok(10*time.Millisecond), start)
+	p.RecordResult(0, ok(20*time.Millisecond), start)
+	p.RecordResult(1, ok(10*time.Millisecond), start)
 	if n := picks(p, both(), start); n != 100 {
 		t.Fatalf("the faster leaf was picked %d times of 100", n)
 	}
@@ -48,16 +50,16 @@
 
 func TestPickPrefersTheOwnZone(t *testing.T) {
 	p := newPolicy()
-	p.Finished(0, ok(10*time.Millisecond), start)
-	p.Finished(1, ok(10*time.Millisecond), start)
+	p.RecordResult(0, ok(10*time.Millisecond), start)
+	p.RecordResult(1, ok(10*time.Millisecond), start)
 	c := both()
 	c[0].Local = false
 	if n := picks(p, c, start); n != 100 {
 		t.Fatalf("the local leaf was picked %d times of 100", n)
 	}
-	p.Finished(0, ok(time.Microsecond), start)
+	p.RecordResult(0, ok(time.Microsecond), start)
 	for range 100 {
-		p.Finished(1, ok(20*time.Millisecond), start)
+		p.RecordResult(1, ok(20*time.Millisecond), start)
 	}
 	if n := picks(p, c, start); n != 0 {
 		t.Fatalf("a far slower local leaf was picked %d times of 100", n)
@@ -80,9 +82,9 @@
 		i, _ := p.Pick(c, now)
 		if i == 1 {
 			sent++
-			p.Finished(1, plugin.Sample{Shed: true}, now)
+			p.RecordResult(1, plugin.AttemptResult{Shed: true}, now)
 		} else {
-			p.Finished(0, ok(10*time.Millisecond), now)
+			p.RecordResult(0, ok(10*time.Millisecond), now)
 		}
 	}
 	if sent > 8 {
@@ -94,9 +96,9 @@
 func TestHalfFailingLeafIsDearer(t *testing.T) {
 	p := newPolicy()
 	for range 50 {
-		p.Finished(0, ok(10*time.Millisecond), start)
-		p.Finished(1, plugin.Sample{Shed: true}, start)
-		p.Finished(1, ok(8*time.Millisecond), start)
+		p.RecordResult(0, ok(10*time.Millisecond), start)
+		p.RecordResult(1, plugin.AttemptResult{Shed: true}, start)
+		p.RecordResult(1, ok(8*time.Millisecond), start)
 	}
 	if !p.Usable(1, start) {
 		t.Fatal("ejected although it works half of the time")
@@ -111,13 +113,13 @@
 func TestEjectionProbesBack(t *testing.T) {
 	p := newPolicy()
 	for range 10 {
-		p.Finished(0, ok(10*time.Millisecond), start)
-		p.Finished(1, plugin.Sample{Failed: true}, start)
+		p.RecordResult(0, ok(10*time.Millisecond), start)
+		p.RecordResult(1, plugin.AttemptResult{Failed: true}, start)
 	}
 	if p.Usable(1, start) {
 		t.Fatal("a leaf that always fails is usable")
 	}
-	now := start.Add(health.FirstPause)
+	now := start.Add(health.FirstProbeDelay)
 	if !p.Usable(1, now) {
 		t.Fatal("no probe after the first pause")
 	}
@@ -127,13 +129,13 @@
 	if p.Usable(1, now) {
 		t.Fatal("a second probe beside the first")
 	}
-	p.Finished(1, plugin.Sample{Failed: true}, now)
-	if p.Usable(1, now.Add(health.FirstPause)) || !p.Usable(1, now.Add(2*health.FirstPause)) {
+	p.RecordResult(1, plugin.AttemptResult{Failed: true}, now)
+	if p.Usable(1, now.Add(health.FirstProbeDelay)) || !p.Usable(1, now.Add(2*health.FirstProbeDelay)) {
 		t.Fatal("the pause did not double after a failed probe")
 	}
-	now = now.Add(2 * health.FirstPause)
+	now = now.Add(2 * health.FirstProbeDelay)
 	p.Pick(both()[1:], now)
-	p.Finished(1, ok(10*time.Millisecond), now)
+	p.RecordResult(1, ok(10*time.Millisecond), now)
 	if !p.Usable(1, now) {
 		t.Fatal("not usable after a good probe")
 	}
@@ -148,18 +150,18 @@
 // TestSwallowedRequestsEject has a leaf that takes requests and never answers:
 // they time out, or are cancelled when a hedge answers.
 func TestSwallowedRequestsEject(t *testing.T) {
-	for name, s := range map[string]plugin.Sample{
+	for name, s := range map[string]plugin.AttemptResult{
 		"timed out": {TimedOut: true, Latency: 200 * time.Millisecond},
 		"cancelled": {Cancelled: true, Latency: 40 * time.Millisecond},
 	} {
 		p := newPolicy()
 		n := 0
 		for ; n < 100 && p.Usable(1, start); n++ {
-			p.Finished(0, ok(10*time.Millisecond), start)
+			p.RecordResult(0, ok(10*time.Millisecond), start)
 			if n == 0 {
-				p.Finished(1, ok(10*time.Millisecond), start)
+				p.RecordResult(1, ok(10*time.Millisecond), start)
 			}
-			p.Finished(1, s, start)
+			p.RecordResult(1, s, start)
 		}
 		if n > 40 {
 			t.Errorf("%s: still usable after %d swallowed requests", name, n)
@@ -173,10 +175,10 @@
 	p := newPolicy()
 	for i := range 200 {
 		key := i % 2
-		p.Finished(key, ok(10*time.Millisecond), start)
+		p.RecordResult(key, ok(10*time.Millisecond), start)
 		if i%20 < 3 {
-			p.Finished(1, plugin.Sample{TimedOut: true, Latency: 200 * time.Millisecond}, start)
-			p.Finished(1, plugin.Sample{Cancelled: true, Latency: 40 * time.Millisecond}, start)
+			p.RecordResult(1, plugin.AttemptResult{TimedOut: true, Latency: 200 * time.Millisecond}, start)
+			p.RecordResult(1, plugin.AttemptResult{Cancelled: true, Latency: 40 * time.Millisecond}, start)
 		}
 		if !p.Usable(1, start) {
 			t.Fatalf("ejected by three timeouts in a row")
@@ -189,7 +191,7 @@
 	p := newPolicy()
 	for range 100 {
 		for key := range 4 {
-			p.Finished(key, plugin.Sample{Failed: true}, start)
+			p.RecordResult(key, plugin.AttemptResult{Failed: true}, start)
 		}
 	}
 	usable := 0
@@ -207,17 +209,17 @@
 // TestHintIsBounded has the load endpoint report an absurd queue.
 func TestHintIsBounded(t *testing.T) {
 	p := newPolicy()
-	p.Finished(0, ok(10*time.Millisecond), start)
-	p.Finished(1, ok(12*time.Millisecond), start)
-	p.Hint(0, 1_000_000, 1_000_000, start)
+	p.RecordResult(0, ok(10*time.Millisecond), start)
+	p.RecordResult(1, ok(12*time.Millisecond), start)
+	p.RecordLoadHint(0, 1_000_000, 1_000_000, start)
 	if n := picks(p, both(), start); n != 0 {
 		t.Fatalf("a hint moved %d of 100 picks to a leaf that is a fifth slower", n)
 	}
 	// Between equals it decides, until it is old.
 	q := newPolicy()
-	q.Finished(0, ok(10*time.Millisecond), start)
-	q.Finished(1, ok(10*time.Millisecond), start)
-	q.Hint(0, 9, 9, start)
+	q.RecordResult(0, ok(10*time.Millisecond), start)
+	q.RecordResult(1, ok(10*time.Millisecond), start)
+	q.RecordLoadHint(0, 9, 9, start)
 	if n := picks(q, both(), start); n != 100 {
 		t.Fatalf("the less loaded of two equals was picked %d times of 100", n)
 	}
