--- a/kernel/membership/digest.go
+++ b/kernel/membership/digest.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// Digest returns what to tell a peer. The caller fills in what other parts
-// know: generation and hash. Its size is bounded by the limits on
-// its lists and does not grow with the fleet.
+// Digest returns the digest to send to a peer. The caller fills in Generation and Hash, which
+// this machine does not know. The limits on its lists bound its size, which does not grow
+// with the fleet.
 func (m *Machine) Digest(now time.Time) *Digest {
 	return &Digest{
 		Instance: m.cfg.Instance, Draining: m.draining,
@@ -17,13 +17,13 @@
 	}
 }
 
-// digestLeaving lists fresh observations, the freshest first, and a few older
-// ones chosen at random: nearly everyone knows those, and an entry that does
-// not hears of them within some rounds.
+// digestLeaving lists the fresh observations, the latest first, and a few older ones chosen
+// at random. Nearly all entries know the older ones, and one that does not receives them
+// within some rounds.
 func (m *Machine) digestLeaving(now time.Time) []LeavingLeaf {
 	var fresh, old []LeavingLeaf
-	for _, leaf := range slices.Sorted(maps.Keys(m.marks)) {
-		l := LeavingLeaf{Leaf: leaf, StartedAtMS: m.marks[leaf].born, Age: now.Sub(m.marks[leaf].seen)}
+	for _, leaf := range slices.Sorted(maps.Keys(m.leavingLeaves)) {
+		l := LeavingLeaf{Leaf: leaf, StartedAtMS: m.leavingLeaves[leaf].startedAtMS, Age: now.Sub(m.leavingLeaves[leaf].seenAt)}
 		switch {
 		case l.Age < m.cfg.FreshFor:
 			fresh = append(fresh, l)
@@ -44,26 +44,26 @@
 	var out []RelayedGeneration
 	for _, id := range ids[:min(len(ids), m.cfg.MaxGenerations)] {
 		p := m.peers[id]
-		out = append(out, RelayedGeneration{Instance: id, Generation: p.generation, Age: now.Sub(p.seen)})
+		out = append(out, RelayedGeneration{Instance: id, Generation: p.generation, Age: now.Sub(p.asOf)})
 	}
 	return out
 }
 
-// PeerStatus is the generation in force at a peer, as last received.
+// PeerStatus is the last known state of a peer.
 type PeerStatus struct {
 	Instance   string
-	Generation uint64
-	Hash       string
-	Age        time.Duration
+	Generation uint64        // of the configuration in force there
+	Hash       string        // of that configuration
+	Age        time.Duration // since the state was current
 	Draining   bool
 }
 
-// PeerStatuses lists what is known of the peers, in order of instance.
+// PeerStatuses lists the last known states of all peers, in order of instance.
 func (m *Machine) PeerStatuses(now time.Time) []PeerStatus {
 	var out []PeerStatus
 	for _, id := range slices.Sorted(maps.Keys(m.peers)) {
 		p := m.peers[id]
-		out = append(out, PeerStatus{Instance: id, Generation: p.generation, Hash: p.hash, Age: now.Sub(p.seen), Draining: p.draining})
+		out = append(out, PeerStatus{Instance: id, Generation: p.generation, Hash: p.hash, Age: now.Sub(p.asOf), Draining: p.draining})
 	}
 	return out
 }
--- a/kernel/membership/machine.go
+++ b/kernel/membership/machine.go
@@ -8,86 +8,92 @@
 	"time"
 )
 
-// peerState is what is known of a peer by its digests.
+// peerState is what digests tell of a peer: its own ones, and those of others that relay its
+// generation.
 type peerState struct {
 	generation uint64
 	hash       string
-	seen       time.Time // when its state was current, by the age relayed
-	direct     time.Time // when it last spoke to this instance
+	asOf       time.Time // when the generation was current, by the age that came with it
+	direct     time.Time // when its last own digest arrived
 	draining   bool
 }
 
-// mark says that a leaf is leaving.
-type mark struct {
-	seen time.Time // the freshest observation
-	born int64     // the leaf's start, 0: not known
+// leavingObservation is the latest observation that a leaf says it is leaving.
+type leavingObservation struct {
+	seenAt      time.Time // of the latest observation
+	startedAtMS int64     // the leaf's start that it belongs to; 0: not known
 }
 
-// before reports whether the mark is of a start before the given one.
-func (k mark) before(born int64) bool { return born != 0 && k.born < born }
+// ofStartBefore reports whether the observation belongs to an earlier start of the leaf than
+// the given one. It is false where the given start is not known.
+func (o leavingObservation) ofStartBefore(startedAtMS int64) bool {
+	return startedAtMS != 0 && o.startedAtMS < startedAtMS
+}
 
-// birth is a leaf's start and when it was reported.
-type birth struct {
-	born int64
-	at   time.Time
+// reportedStart is the start that a leaf reported last.
+type reportedStart struct {
+	startedAtMS int64
+	at          time.Time // of the report
 }
 
-// Machine holds the membership as one entry sees it.
+// Machine is the membership as one entry sees it. It does no I/O: Handle takes events and
+// returns actions. It is not safe for concurrent use.
 type Machine struct {
-	cfg      Config
-	rand     *rand.Rand
-	actions  []Action
-	list     map[string]Instance
-	marks    map[string]mark  // by leaf
-	births   map[string]birth // the start that a leaf reported last, by leaf
-	peers    map[string]peerState
-	draining bool
-	next     time.Time // of the next round
-	pending  bool      // something waits to be pushed
-	pushed   time.Time // when something was last pushed
-	leaving  map[string]bool
-	entries  []string
+	cfg           Config
+	rand          *rand.Rand
+	actions       []Action
+	list          map[string]Instance
+	leavingLeaves map[string]leavingObservation // by leaf
+	starts        map[string]reportedStart      // by leaf
+	peers         map[string]peerState          // by instance
+	draining      bool
+	nextRound     time.Time
+	pushPending   bool // a change is to be pushed
+	lastPush      time.Time
+	leaving       map[string]bool // as last reported, by leaf
+	entries       []string        // as last reported, in order
 }
 
-// New returns a machine that knows only itself.
+// New returns a machine that knows no other instance.
 func New(cfg Config) *Machine {
 	return &Machine{
 		cfg: cfg, rand: rand.New(rand.NewPCG(cfg.Seed, cfg.Seed)),
-		list: make(map[string]Instance), marks: make(map[string]mark), births: make(map[string]birth),
+		list: make(map[string]Instance), leavingLeaves: make(map[string]leavingObservation), starts: make(map[string]reportedStart),
 		peers: make(map[string]peerState), leaving: make(map[string]bool),
 	}
 }
 
-// Handle takes an event and returns the actions it causes.
+// Handle processes an event and returns the actions that it causes. The slice is valid until
+// the next call.
 func (m *Machine) Handle(ev Event, now time.Time) []Action {
 	m.actions = m.actions[:0]
 	switch ev := ev.(type) {
 	case ListRead:
 		m.readList(ev.Instances)
 	case LeavingObserved:
-		m.observed(ev.Leaf, ev.StartedAtMS, now)
+		m.recordLeaving(ev.Leaf, ev.StartedAtMS, now)
 	case StartObserved:
-		m.started(ev.Leaf, ev.StartedAtMS, now)
+		m.recordStart(ev.Leaf, ev.StartedAtMS, now)
 	case DigestReceived:
-		m.receive(ev.Digest, now)
+		m.mergeDigest(ev.Digest, now)
 	case PeerFailed:
 		delete(m.peers, ev.Peer)
 	case PushNow:
-		m.push()
+		m.requestPush()
 	case Drain:
 		m.draining = true
-		m.push()
+		m.requestPush()
 	case Tick:
 		m.tick(now)
 	}
-	m.settle(now)
+	m.emitChanges(now)
 	return m.actions
 }
 
-func (m *Machine) act(a Action) { m.actions = append(m.actions, a) }
+func (m *Machine) emit(a Action) { m.actions = append(m.actions, a) }
 
-// readList replaces what the platform says. The list lags, so that nothing else
-// is forgotten for it.
+// readList replaces the platform's list. The list lags, so observations and peers that it
+// does not show are kept.
 func (m *Machine) readList(instances []Instance) {
 	clear(m.list)
 	for _, in := range instances {
@@ -95,148 +101,152 @@
 	}
 }
 
-// relaySlack is how much fresher a relayed observation must be to replace a known
-// one. It is more than an exchange may take: the age of a relayed observation lacks
-// the time on the way, and without the slack relays would make marks younger.
-const relaySlack = 2 * time.Second
+// minRelayGain is how much later a relayed observation must be than the known one to replace
+// it. It is more than an exchange may take: the age of a relayed observation does not count
+// its time in transit, so without this margin each relay would make it younger and it would
+// never expire.
+const minRelayGain = 2 * time.Second
 
-// observed notes a observation by this instance. A late word of an earlier start of the leaf
-// counts for nothing.
-func (m *Machine) observed(leaf string, born int64, now time.Time) {
-	seen := mark{seen: now, born: born}
-	if seen.before(m.births[leaf].born) {
+// recordLeaving stores an observation by this instance. One that belongs to an earlier start
+// of the leaf and arrives late is ignored.
+func (m *Machine) recordLeaving(leaf string, startedAtMS int64, now time.Time) {
+	observation := leavingObservation{seenAt: now, startedAtMS: startedAtMS}
+	if observation.ofStartBefore(m.starts[leaf].startedAtMS) {
 		return
 	}
-	_, known := m.marks[leaf]
-	m.marks[leaf] = seen
+	_, known := m.leavingLeaves[leaf]
+	m.leavingLeaves[leaf] = observation
 	if !known {
-		m.push()
+		m.requestPush()
 	}
 }
 
-// started notes a start of a leaf, as the leaf itself reported it last: it knows nothing of a
-// drain before. A birth earlier than the mark's, from a clock that went back, takes no
-// drain back; the mark ends with its life.
-func (m *Machine) started(leaf string, born int64, now time.Time) {
-	m.births[leaf] = birth{born: born, at: now}
-	if m.marks[leaf].before(born) {
-		delete(m.marks, leaf)
+// recordStart stores the start that a leaf reported, and drops an observation that belongs
+// to an earlier start: the restarted leaf is not leaving. A start that is earlier than the
+// observation's, because the leaf's clock went back, does not drop it; the observation then
+// expires after LeavingTTL.
+func (m *Machine) recordStart(leaf string, startedAtMS int64, now time.Time) {
+	m.starts[leaf] = reportedStart{startedAtMS: startedAtMS, at: now}
+	if m.leavingLeaves[leaf].ofStartBefore(startedAtMS) {
+		delete(m.leavingLeaves, leaf)
 	}
 }
 
-// relayedMark notes a observation by another instance. One that is new here is
-// passed on at once, while it is fresh.
-func (m *Machine) relayedMark(leaf string, relayed mark, now time.Time) {
-	old, known := m.marks[leaf]
-	seen := relayed.seen
-	if relayed.before(m.births[leaf].born) || (known && relayed.before(old.born)) {
-		return // of an earlier start
+// mergeRelayedLeaving stores an observation by another instance, if it belongs to the latest
+// known start and is later than the known one. If the leaf was not known to be leaving, a
+// fresh observation is pushed on at once.
+func (m *Machine) mergeRelayedLeaving(leaf string, relayed leavingObservation, now time.Time) {
+	old, known := m.leavingLeaves[leaf]
+	seenAt := relayed.seenAt
+	if relayed.ofStartBefore(m.starts[leaf].startedAtMS) || (known && relayed.ofStartBefore(old.startedAtMS)) {
+		return // belongs to an earlier start
 	}
-	if now.Sub(seen) >= m.cfg.LeavingTTL || (known && !old.before(relayed.born) && !seen.After(old.seen.Add(relaySlack))) {
+	if now.Sub(seenAt) >= m.cfg.LeavingTTL || (known && !old.ofStartBefore(relayed.startedAtMS) && !seenAt.After(old.seenAt.Add(minRelayGain))) {
 		return
 	}
-	m.marks[leaf] = relayed
-	if !known && now.Sub(seen) < m.cfg.FreshFor {
-		m.push()
+	m.leavingLeaves[leaf] = relayed
+	if !known && now.Sub(seenAt) < m.cfg.FreshFor {
+		m.requestPush()
 	}
 }
 
-// receive takes in a peer's digest.
-func (m *Machine) receive(d *Digest, now time.Time) {
+// mergeDigest merges a peer's digest.
+func (m *Machine) mergeDigest(d *Digest, now time.Time) {
 	if d.Instance == m.cfg.Instance {
 		return
 	}
-	m.peers[d.Instance] = peerState{generation: d.Generation, hash: d.Hash, seen: now, direct: now, draining: d.Draining}
+	m.peers[d.Instance] = peerState{generation: d.Generation, hash: d.Hash, asOf: now, direct: now, draining: d.Draining}
 	for _, l := range d.Leaving {
 		if l.Age >= 0 {
-			m.relayedMark(l.Leaf, mark{seen: now.Add(-l.Age), born: l.StartedAtMS}, now)
+			m.mergeRelayedLeaving(l.Leaf, leavingObservation{seenAt: now.Add(-l.Age), startedAtMS: l.StartedAtMS}, now)
 		}
 	}
 	for _, g := range d.Generations {
-		m.relayed(g, now)
+		m.mergeRelayedGeneration(g, now)
 	}
-	m.act(GenerationReported{Peer: m.peer(d.Instance), Generation: d.Generation})
+	m.emit(GenerationReported{Peer: m.peer(d.Instance), Generation: d.Generation})
 }
 
-// relayed takes in what a peer knows of another instance. It never replaces
-// what is newer, and never makes a generation go back.
-func (m *Machine) relayed(g RelayedGeneration, now time.Time) {
+// mergeRelayedGeneration merges what a peer knows of another instance. It neither replaces
+// newer knowledge nor makes a generation go back.
+func (m *Machine) mergeRelayedGeneration(g RelayedGeneration, now time.Time) {
 	if g.Instance == m.cfg.Instance || g.Age < 0 {
 		return
 	}
-	seen := now.Add(-g.Age)
+	asOf := now.Add(-g.Age)
 	p := m.peers[g.Instance]
-	if !seen.After(p.seen) || g.Generation < p.generation || now.Sub(seen) > m.cfg.LeavingTTL {
+	if !asOf.After(p.asOf) || g.Generation < p.generation || now.Sub(asOf) > m.cfg.LeavingTTL {
 		return
 	}
-	p.generation, p.seen = g.Generation, seen
+	p.generation, p.asOf = g.Generation, asOf
 	m.peers[g.Instance] = p
 }
 
-// tick starts a round when it is time, and forgets what is old.
+// tick drops what has expired and starts a round of digests when it is due.
 func (m *Machine) tick(now time.Time) {
-	maps.DeleteFunc(m.marks, func(_ string, k mark) bool { return now.Sub(k.seen) >= m.cfg.LeavingTTL })
-	maps.DeleteFunc(m.births, func(_ string, b birth) bool { return now.Sub(b.at) >= m.cfg.LeavingTTL })
-	maps.DeleteFunc(m.peers, func(_ string, p peerState) bool { return now.Sub(p.seen) >= m.cfg.LeavingTTL })
-	if now.Before(m.next) {
+	maps.DeleteFunc(m.leavingLeaves, func(_ string, o leavingObservation) bool { return now.Sub(o.seenAt) >= m.cfg.LeavingTTL })
+	maps.DeleteFunc(m.starts, func(_ string, s reportedStart) bool { return now.Sub(s.at) >= m.cfg.LeavingTTL })
+	maps.DeleteFunc(m.peers, func(_ string, p peerState) bool { return now.Sub(p.asOf) >= m.cfg.LeavingTTL })
+	if now.Before(m.nextRound) {
 		return
 	}
-	// Rounds are spread, so that instances that started together don't stay in step.
-	m.next = now.Add(m.cfg.Interval/2 + time.Duration(m.rand.Int64N(int64(m.cfg.Interval))))
-	m.send(m.cfg.Fanout)
+	// The random interval keeps instances that started together from sending in step.
+	m.nextRound = now.Add(m.cfg.Interval/2 + time.Duration(m.rand.Int64N(int64(m.cfg.Interval))))
+	m.sendDigests(m.cfg.Fanout)
 }
 
-// push tells some peers at once. Each that learns something new does the same,
-// so that it reaches everyone in a number of steps that grows with the
-// logarithm of the fleet.
-// What comes close together is sent together, at most every pushGap.
-func (m *Machine) push() { m.pending = true }
+// requestPush has a digest sent to some peers without waiting for the next round. Each peer
+// that learns something new does the same, so a change reaches all entries in a number of
+// steps that grows with the logarithm of their number. Changes within minPushInterval go
+// out together.
+func (m *Machine) requestPush() { m.pushPending = true }
 
-// pushGap is the least time between two pushes.
-const pushGap = 100 * time.Millisecond
+// minPushInterval is the least time between two pushes.
+const minPushInterval = 100 * time.Millisecond
 
-// pushPending pushes when something waits and the last push is long enough ago.
-func (m *Machine) pushPending(now time.Time) {
-	if !m.pending || now.Sub(m.pushed) < pushGap {
+// flushPush sends the pending push once minPushInterval has passed since the last one.
+func (m *Machine) flushPush(now time.Time) {
+	if !m.pushPending || now.Sub(m.lastPush) < minPushInterval {
 		return
 	}
-	m.pending = false
-	m.pushed = now
-	m.send(m.cfg.PushFanout)
+	m.pushPending = false
+	m.lastPush = now
+	m.sendDigests(m.cfg.PushFanout)
 }
 
-// nextWake is the time of the next round or of a push that waits.
+// nextWake is when the next round or the pending push is due, whichever comes first.
 func (m *Machine) nextWake() time.Time {
-	if at := m.pushed.Add(pushGap); m.pending && at.Before(m.next) {
+	if at := m.lastPush.Add(minPushInterval); m.pushPending && at.Before(m.nextRound) {
 		return at
 	}
-	return m.next
+	return m.nextRound
 }
 
-// send tells n peers, chosen at random from the list.
-func (m *Machine) send(n int) {
+// sendDigests sends a digest to n peers, chosen at random from the list.
+func (m *Machine) sendDigests(n int) {
 	peers := m.Peers()
 	m.rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
 	for _, p := range peers[:min(n, len(peers))] {
-		m.act(SendDigest{Peer: p})
+		m.emit(SendDigest{Peer: p})
 	}
 }
 
-// settle reports a changed membership and asks for the next Tick.
-func (m *Machine) settle(now time.Time) {
+// emitChanges ends each Handle: it reports a changed membership, sends a push that is due and
+// asks for the next Tick.
+func (m *Machine) emitChanges(now time.Time) {
 	leaving, entries := m.computeLeaving(now), m.computeEntries(now)
 	if !maps.Equal(leaving, m.leaving) || !slices.Equal(entries, m.entries) {
 		m.leaving, m.entries = leaving, entries
-		m.act(MembershipChanged{})
+		m.emit(MembershipChanged{})
 	}
-	if m.next.IsZero() {
-		m.next = now
+	if m.nextRound.IsZero() {
+		m.nextRound = now
 	}
-	m.pushPending(now)
-	m.act(WakeAt{At: m.nextWake()})
+	m.flushPush(now)
+	m.emit(WakeAt{At: m.nextWake()})
 }
 
-// computeLeaving is the OR of the list and the observations.
+// computeLeaving returns the leaves that are leaving by the list or by an observation.
 func (m *Machine) computeLeaving(now time.Time) map[string]bool {
 	out := make(map[string]bool)
 	for id, in := range m.list {
@@ -244,16 +254,16 @@
 			out[id] = true
 		}
 	}
-	for leaf, k := range m.marks {
-		if now.Sub(k.seen) < m.cfg.LeavingTTL {
+	for leaf, o := range m.leavingLeaves {
+		if now.Sub(o.seenAt) < m.cfg.LeavingTTL {
 			out[leaf] = true
 		}
 	}
 	return out
 }
 
-// computeEntries lists the entries that may hold connections: those of the
-// list, leaving ones too, those that answered lately, and this one.
+// computeEntries lists the entries that may hold connections to leaves, in order: this one,
+// those of the list, leaving ones included, and those heard of within PeerTTL.
 func (m *Machine) computeEntries(now time.Time) []string {
 	set := map[string]bool{m.cfg.Instance: true}
 	for id, in := range m.list {
@@ -262,17 +272,17 @@
 		}
 	}
 	for id, p := range m.peers {
-		if now.Sub(p.seen) < m.cfg.PeerTTL {
+		if now.Sub(p.asOf) < m.cfg.PeerTTL {
 			set[id] = true
 		}
 	}
 	return slices.Sorted(maps.Keys(set))
 }
 
-// Leaving reports whether a leaf gets no new work.
+// Leaving reports whether a leaf is leaving and gets no new work.
 func (m *Machine) Leaving(leaf string) bool { return m.leaving[leaf] }
 
-// Entries lists the entries that may hold connections, in order.
+// Entries lists the entries that may hold connections to leaves, in order.
 func (m *Machine) Entries() []string { return m.entries }
 
 // Peers lists the other entries of the platform's list, in order.
@@ -287,7 +297,7 @@
 	return out
 }
 
-// peer returns a peer with its address, if the list has it.
+// peer returns a peer with its address; the address is empty if the list lacks the instance.
 func (m *Machine) peer(instance string) Peer {
 	return Peer{Instance: instance, Address: m.list[instance].PeerAddress}
 }
--- a/kernel/membership/membership_test.go
+++ b/kernel/membership/membership_test.go
@@ -18,96 +18,97 @@
 	os.Exit(m.Run())
 }
 
-// epoch is where the tests' virtual time starts.
+// epoch is the start of the tests' virtual time.
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// forwardDelay is the time of an exchange between two entries.
-const forwardDelay = 3 * time.Millisecond
+// oneWayDelay is the time that a digest is in transit between two entries.
+const oneWayDelay = 3 * time.Millisecond
 
-// fleet drives machines in virtual time: each SendDigest is an exchange.
-type fleet struct {
-	now      time.Time
-	machines []*Machine
-	wake     []time.Time
-	mail     []letter
-	cut      map[int]bool // machines that no exchange reaches
-	sent     int
+// simulation drives the machines of several entries in virtual time. Each SendDigest is an
+// exchange: the receiver replies with its own digest.
+type simulation struct {
+	now         time.Time
+	machines    []*Machine
+	wake        []time.Time
+	inTransit   []message
+	partitioned map[int]bool // machines that no exchange reaches
+	sent        int
 }
 
-// letter is a digest on its way.
-type letter struct {
-	at       time.Time
-	from, to int
-	digest   *Digest
-	answer   bool
+// message is a digest in transit.
+type message struct {
+	at         time.Time
+	from, to   int
+	digest     *Digest
+	wantsReply bool
 }
 
-// name is an instance's ID.
-func name(i int) string { return fmt.Sprintf("entry-%03d", i) }
+// entryName returns the ID of entry i.
+func entryName(i int) string { return fmt.Sprintf("entry-%03d", i) }
 
-// newFleet makes n machines that all know the list.
-func newFleet(n int, leaves ...Instance) *fleet {
-	f := &fleet{now: epoch, wake: make([]time.Time, n), cut: make(map[int]bool)}
+// newSimulation returns n entries whose list has all of them and the given leaves.
+func newSimulation(n int, leaves ...Instance) *simulation {
+	s := &simulation{now: epoch, wake: make([]time.Time, n), partitioned: make(map[int]bool)}
 	list := append([]Instance(nil), leaves...)
 	for i := range n {
-		list = append(list, Instance{ID: name(i), Entry: true, PeerAddress: name(i)})
+		list = append(list, Instance{ID: entryName(i), Entry: true, PeerAddress: entryName(i)})
 	}
 	for i := range n {
-		f.machines = append(f.machines, New(DefaultConfig(name(i), uint64(i+1))))
-		f.give(i, ListRead{Instances: list})
+		s.machines = append(s.machines, New(DefaultConfig(entryName(i), uint64(i+1))))
+		s.handle(i, ListRead{Instances: list})
 	}
-	return f
+	return s
 }
 
-// give hands an event to a machine and carries out its actions.
-func (f *fleet) give(i int, ev Event) {
-	for _, a := range f.machines[i].Handle(ev, f.now) {
+// handle passes an event to machine i and carries out its actions.
+func (s *simulation) handle(i int, ev Event) {
+	for _, a := range s.machines[i].Handle(ev, s.now) {
 		switch a := a.(type) {
 		case WakeAt:
-			f.wake[i] = a.At
+			s.wake[i] = a.At
 		case SendDigest:
 			var to int
 			_, _ = fmt.Sscanf(a.Peer.Instance, "entry-%d", &to)
-			f.sent++
-			f.mail = append(f.mail, letter{f.now.Add(forwardDelay), i, to, f.machines[i].Digest(f.now), true})
+			s.sent++
+			s.inTransit = append(s.inTransit, message{s.now.Add(oneWayDelay), i, to, s.machines[i].Digest(s.now), true})
 		}
 	}
 }
 
-// run lets virtual time pass in steps of a millisecond.
-func (f *fleet) run(d time.Duration) {
-	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(time.Millisecond) {
-		f.deliver()
-		for i := range f.machines {
-			if !f.now.Before(f.wake[i]) {
-				f.give(i, Tick{})
+// run advances virtual time by d in steps of a millisecond.
+func (s *simulation) run(d time.Duration) {
+	for end := s.now.Add(d); s.now.Before(end); s.now = s.now.Add(time.Millisecond) {
+		s.deliver()
+		for i := range s.machines {
+			if !s.now.Before(s.wake[i]) {
+				s.handle(i, Tick{})
 			}
 		}
 	}
 }
 
-// deliver hands over the letters that have arrived; an exchange has an answer.
-func (f *fleet) deliver() {
-	mail := f.mail
-	f.mail = nil
-	for _, l := range mail {
+// deliver handles the messages that have arrived and sends the replies.
+func (s *simulation) deliver() {
+	messages := s.inTransit
+	s.inTransit = nil
+	for _, msg := range messages {
 		switch {
-		case f.now.Before(l.at):
-			f.mail = append(f.mail, l)
-		case f.cut[l.from] || f.cut[l.to]:
+		case s.now.Before(msg.at):
+			s.inTransit = append(s.inTransit, msg)
+		case s.partitioned[msg.from] || s.partitioned[msg.to]:
 		default:
-			f.give(l.to, DigestReceived{Digest: l.digest})
-			if l.answer {
-				f.mail = append(f.mail, letter{f.now.Add(forwardDelay), l.to, l.from, f.machines[l.to].Digest(f.now), false})
+			s.handle(msg.to, DigestReceived{Digest: msg.digest})
+			if msg.wantsReply {
+				s.inTransit = append(s.inTransit, message{s.now.Add(oneWayDelay), msg.to, msg.from, s.machines[msg.to].Digest(s.now), false})
 			}
 		}
 	}
 }
 
-// knowing counts the machines that hold a leaf for leaving.
-func (f *fleet) knowing(leaf string) int {
+// countLeaving counts the machines that take the leaf for leaving.
+func (s *simulation) countLeaving(leaf string) int {
 	n := 0
-	for _, m := range f.machines {
+	for _, m := range s.machines {
 		if m.Leaving(leaf) {
 			n++
 		}
@@ -115,119 +116,123 @@
 	return n
 }
 
-// TestLeavingIsKnownWithinThreeSeconds lets one entry see a leaf's mark, while
-// the list says that it is live, at three sizes of the fleet.
+// TestLeavingIsKnownWithinThreeSeconds lets one entry observe that a leaf is leaving while the
+// list still says that it is live, with three numbers of entries.
 func TestLeavingIsKnownWithinThreeSeconds(t *testing.T) {
 	for _, n := range []int{2, 8, 64} {
-		f := newFleet(n, Instance{ID: "leaf"})
-		f.run(2 * time.Second)
-		f.give(0, LeavingObserved{Leaf: "leaf"})
-		f.run(3 * time.Second)
-		if got := f.knowing("leaf"); got != n {
-			t.Errorf("%d of %d entries know it after 3 s", got, n)
+		s := newSimulation(n, Instance{ID: "leaf"})
+		s.run(2 * time.Second)
+		s.handle(0, LeavingObserved{Leaf: "leaf"})
+		s.run(3 * time.Second)
+		if got := s.countLeaving("leaf"); got != n {
+			t.Errorf("%d of %d entries know after 3 s that the leaf is leaving", got, n)
 		}
 	}
 }
 
-// TestLeavingIsKnownWithoutPush shows that the rounds alone carry it, later.
+// TestLeavingIsKnownWithoutPush checks that the rounds alone spread an observation, though
+// more slowly.
 func TestLeavingIsKnownWithoutPush(t *testing.T) {
-	f := newFleet(8, Instance{ID: "leaf"})
-	for _, m := range f.machines {
+	s := newSimulation(8, Instance{ID: "leaf"})
+	for _, m := range s.machines {
 		m.cfg.PushFanout = 0
 	}
-	f.give(0, LeavingObserved{Leaf: "leaf"})
-	f.run(10 * time.Second)
-	if got := f.knowing("leaf"); got != 8 {
-		t.Errorf("%d of 8 entries know it after 10 s of rounds", got)
+	s.handle(0, LeavingObserved{Leaf: "leaf"})
+	s.run(10 * time.Second)
+	if got := s.countLeaving("leaf"); got != 8 {
+		t.Errorf("%d of 8 entries know after 10 s of rounds that the leaf is leaving", got)
 	}
 }
 
-// TestMarkOutlivesTheListsLag keeps a leaf leaving while the list lags and
-// nobody sees its mark any more, and takes it back at last.
-func TestMarkOutlivesTheListsLag(t *testing.T) {
-	f := newFleet(3, Instance{ID: "leaf"})
-	f.give(0, LeavingObserved{Leaf: "leaf"})
-	f.run(30 * time.Second)
-	if got := f.knowing("leaf"); got != 3 {
-		t.Errorf("%d of 3 entries still know it after 30 s", got)
-	}
-	f.run(2 * time.Minute)
-	if got := f.knowing("leaf"); got != 0 {
-		t.Errorf("%d entries hold it for leaving long after the last observation", got)
+// TestObservationOutlivesLagOfList checks that a leaf stays leaving while the list lags and
+// nobody observes it again, and that the observation expires in the end.
+func TestObservationOutlivesLagOfList(t *testing.T) {
+	s := newSimulation(3, Instance{ID: "leaf"})
+	s.handle(0, LeavingObserved{Leaf: "leaf"})
+	s.run(30 * time.Second)
+	if got := s.countLeaving("leaf"); got != 3 {
+		t.Errorf("%d of 3 entries still know after 30 s that the leaf is leaving", got)
+	}
+	s.run(2 * time.Minute)
+	if got := s.countLeaving("leaf"); got != 0 {
+		t.Errorf("%d entries take the leaf for leaving long after the last observation", got)
 	}
 }
 
-// TestMarksDoNotKeepEachOtherAlive relays a mark among many entries: its age
-// goes with it, so that it ends for all at the same time.
-func TestMarksDoNotKeepEachOtherAlive(t *testing.T) {
-	f := newFleet(8)
-	f.give(3, LeavingObserved{Leaf: "leaf"})
-	f.run(DefaultConfig("", 0).LeavingTTL + 5*time.Second)
-	if got := f.knowing("leaf"); got != 0 {
-		t.Errorf("%d entries keep a mark that nobody has seen for its whole life", got)
+// TestRelayedObservationExpires relays an observation among many entries. Its age is sent
+// with it, so it expires everywhere at the same time.
+func TestRelayedObservationExpires(t *testing.T) {
+	s := newSimulation(8)
+	s.handle(3, LeavingObserved{Leaf: "leaf"})
+	s.run(DefaultConfig("", 0).LeavingTTL + 5*time.Second)
+	if got := s.countLeaving("leaf"); got != 0 {
+		t.Errorf("%d entries keep an observation that was not repeated within LeavingTTL", got)
 	}
 }
 
-// TestLeafThatStartsAgainIsNotLeaving lets a leaf drain and start again under its ID: the
-// mark ends at each entry with the later birth, and no relayed mark brings it back.
-func TestLeafThatStartsAgainIsNotLeaving(t *testing.T) {
-	f := newFleet(8, Instance{ID: "leaf"})
-	f.give(0, LeavingObserved{Leaf: "leaf", StartedAtMS: 100})
-	f.run(5 * time.Second)
-	if got := f.knowing("leaf"); got != 8 {
-		t.Fatalf("%d of 8 entries know that it leaves", got)
-	}
-	for i := range 7 { // the last one has not asked it yet
-		f.give(i, StartObserved{Leaf: "leaf", StartedAtMS: 200})
-	}
-	f.give(3, LeavingObserved{Leaf: "leaf", StartedAtMS: 100}) // a late word of the earlier start
-	f.run(10 * time.Second)
-	if got := f.knowing("leaf"); got != 1 {
-		t.Errorf("%d entries hold it for leaving, want only the one that has not asked it", got)
-	}
-	f.give(2, LeavingObserved{Leaf: "leaf", StartedAtMS: 200})
-	f.run(3 * time.Second)
-	if got := f.knowing("leaf"); got != 8 {
-		t.Errorf("%d of 8 entries know that it leaves again", got)
+// TestRestartedLeafIsNotLeaving lets a leaf drain and restart under the same ID. Each entry
+// drops the observation when it learns of the later start, and no relayed observation of the
+// earlier start brings it back.
+func TestRestartedLeafIsNotLeaving(t *testing.T) {
+	s := newSimulation(8, Instance{ID: "leaf"})
+	s.handle(0, LeavingObserved{Leaf: "leaf", StartedAtMS: 100})
+	s.run(5 * time.Second)
+	if got := s.countLeaving("leaf"); got != 8 {
+		t.Fatalf("%d of 8 entries know that the leaf is leaving", got)
+	}
+	for i := range 7 { // the last entry has not learned of the new start yet
+		s.handle(i, StartObserved{Leaf: "leaf", StartedAtMS: 200})
+	}
+	s.handle(3, LeavingObserved{Leaf: "leaf", StartedAtMS: 100}) // arrives late, of the earlier start
+	s.run(10 * time.Second)
+	if got := s.countLeaving("leaf"); got != 1 {
+		t.Errorf("%d entries take the leaf for leaving, want only the one that does not know of its new start", got)
+	}
+	s.handle(2, LeavingObserved{Leaf: "leaf", StartedAtMS: 200})
+	s.run(3 * time.Second)
+	if got := s.countLeaving("leaf"); got != 8 {
+		t.Errorf("%d of 8 entries know that the leaf is leaving again", got)
 	}
 }
 
-// TestClockOfALeafWentBack starts a leaf again with an earlier birth: its drain is not
-// taken back, it is not lost for good, and when it drains that is known.
-func TestClockOfALeafWentBack(t *testing.T) {
+// TestLeafWhoseClockWentBack restarts a leaf with an earlier start time. The observation that
+// it is leaving stays, but expires after LeavingTTL, and a new drain is observed.
+func TestLeafWhoseClockWentBack(t *testing.T) {
 	m := New(DefaultConfig("a", 1))
 	at := epoch
-	give := func(ev Event) { m.Handle(ev, at) }
-	give(LeavingObserved{Leaf: "leaf", StartedAtMS: 200})
-	give(StartObserved{Leaf: "leaf", StartedAtMS: 100})
+	handle := func(ev Event) { m.Handle(ev, at) }
+	handle(LeavingObserved{Leaf: "leaf", StartedAtMS: 200})
+	handle(StartObserved{Leaf: "leaf", StartedAtMS: 100})
 	if !m.Leaving("leaf") {
-		t.Error("an earlier birth took a drain back")
+		t.Error("an earlier start dropped the observation that the leaf is leaving")
 	}
 	at = at.Add(DefaultConfig("", 0).LeavingTTL + time.Second)
-	give(Tick{})
+	handle(Tick{})
 	if m.Leaving("leaf") {
-		t.Error("the leaf is lost for longer than a mark lives")
+		t.Error("the leaf gets no work for longer than LeavingTTL")
 	}
-	give(LeavingObserved{Leaf: "leaf", StartedAtMS: 100})
+	handle(LeavingObserved{Leaf: "leaf", StartedAtMS: 100})
 	if !m.Leaving("leaf") {
-		t.Error("a drain of the present start counts for nothing")
+		t.Error("a drain of the present start is ignored")
 	}
 }
 
-// TestListSaysLeaving takes the platform's own word.
-func TestListSaysLeaving(t *testing.T) {
+// TestListedStateOfLeaf checks that a leaf which the list calls leaving is leaving, until the
+// list calls it live again.
+func TestListedStateOfLeaf(t *testing.T) {
 	m := New(DefaultConfig("a", 1))
 	m.Handle(ListRead{Instances: []Instance{{ID: "leaf", Leaving: true}}}, epoch)
 	if !m.Leaving("leaf") {
-		t.Error("the list's word is not taken")
+		t.Error("a leaf that the list calls leaving is not leaving")
 	}
 	m.Handle(ListRead{Instances: []Instance{{ID: "leaf"}}}, epoch)
 	if m.Leaving("leaf") {
-		t.Error("a leaf that the list calls live again is still held for leaving")
+		t.Error("a leaf that the list calls live again is still leaving")
 	}
 }
 
-// TestEntriesThatMayHoldConnections counts leaving and merely heard entries.
+// TestEntriesThatMayHoldConnections checks that entries which are leaving count, and those
+// that are known from digests only count for PeerTTL.
 func TestEntriesThatMayHoldConnections(t *testing.T) {
 	m := New(DefaultConfig("a", 1))
 	m.Handle(ListRead{Instances: []Instance{{ID: "a", Entry: true}, {ID: "b", Entry: true, Leaving: true}, {ID: "leaf"}}}, epoch)
@@ -237,29 +242,29 @@
 	}
 	m.Handle(Tick{}, epoch.Add(time.Minute))
 	if got := fmt.Sprint(m.Entries()); got != "[a b]" {
-		t.Errorf("entries %s after c fell silent, want [a b]", got)
+		t.Errorf("entries %s after c sent no digest for PeerTTL, want [a b]", got)
 	}
 }
 
-// TestDigestIsBounded gives a machine far more than a digest holds.
+// TestDigestIsBounded gives a machine far more observations and peers than a digest holds.
 func TestDigestIsBounded(t *testing.T) {
 	cfg := DefaultConfig("a", 1)
 	m := New(cfg)
 	for i := range 10 * cfg.MaxLeaving {
 		m.Handle(LeavingObserved{Leaf: fmt.Sprintf("leaf-%d", i)}, epoch.Add(time.Duration(i)*time.Millisecond))
-		m.Handle(DigestReceived{Digest: &Digest{Instance: name(i)}}, epoch)
+		m.Handle(DigestReceived{Digest: &Digest{Instance: entryName(i)}}, epoch)
 	}
 	d := m.Digest(epoch.Add(time.Second))
 	if len(d.Leaving) != cfg.MaxLeaving || len(d.Generations) != cfg.MaxGenerations {
 		t.Errorf("%d leaving and %d generations in a digest", len(d.Leaving), len(d.Generations))
 	}
 	if want := fmt.Sprintf("leaf-%d", 10*cfg.MaxLeaving-1); d.Leaving[0].Leaf != want {
-		t.Errorf("the digest starts with %s, want the freshest, %s", d.Leaving[0].Leaf, want)
+		t.Errorf("the digest starts with %s, want the latest observation, %s", d.Leaving[0].Leaf, want)
 	}
 }
 
-// TestGenerationsNeverGoBack gives a machine random relayed generations and
-// checks that what it holds of an instance never falls.
+// TestGenerationsNeverGoBack gives a machine random relayed generations and checks that the
+// generation that it stores for an instance never decreases.
 func TestGenerationsNeverGoBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := New(DefaultConfig("a", 1))
@@ -268,7 +273,7 @@
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 1000).Draw(t, "ms")) * time.Millisecond)
 			g := RelayedGeneration{
-				Instance:   name(rapid.IntRange(0, 2).Draw(t, "instance")),
+				Instance:   entryName(rapid.IntRange(0, 2).Draw(t, "instance")),
 				Generation: rapid.Uint64Range(0, 5).Draw(t, "generation"),
 				Age:        time.Duration(rapid.IntRange(-10, 5000).Draw(t, "age")) * time.Millisecond,
 			}
@@ -283,81 +288,82 @@
 	})
 }
 
-// TestCutEntryHearsAgain cuts an entry off for a while.
-func TestCutEntryHearsAgain(t *testing.T) {
-	f := newFleet(8, Instance{ID: "leaf"})
-	f.cut[7] = true
-	f.give(0, LeavingObserved{Leaf: "leaf"})
-	f.run(5 * time.Second)
-	if f.machines[7].Leaving("leaf") {
-		t.Fatal("a cut entry heard")
-	}
-	f.cut[7] = false
-	f.run(5 * time.Second)
-	if !f.machines[7].Leaving("leaf") {
-		t.Error("the entry did not hear after the cut")
+// TestPartitionedEntryCatchesUp partitions an entry from all others, and ends the partition.
+func TestPartitionedEntryCatchesUp(t *testing.T) {
+	s := newSimulation(8, Instance{ID: "leaf"})
+	s.partitioned[7] = true
+	s.handle(0, LeavingObserved{Leaf: "leaf"})
+	s.run(5 * time.Second)
+	if s.machines[7].Leaving("leaf") {
+		t.Fatal("a partitioned entry received an observation")
+	}
+	s.partitioned[7] = false
+	s.run(5 * time.Second)
+	if !s.machines[7].Leaving("leaf") {
+		t.Error("the entry did not catch up after the partition")
 	}
 }
 
-// TestOldMarksAreToldNowAndThen checks that a digest in steady state carries
-// few marks, and that each of many is told in the end.
-func TestOldMarksAreToldNowAndThen(t *testing.T) {
-	f := newFleet(1)
+// TestAgedObservationsAreSentInTurn checks that a digest carries few observations that are
+// not fresh, and that each of many is sent in the end.
+func TestAgedObservationsAreSentInTurn(t *testing.T) {
+	s := newSimulation(1)
 	for i := range 200 {
-		f.give(0, LeavingObserved{Leaf: fmt.Sprint(i)})
+		s.handle(0, LeavingObserved{Leaf: fmt.Sprint(i)})
 	}
-	f.now = f.now.Add(20 * time.Second)
-	f.give(0, LeavingObserved{Leaf: "fresh"})
-	told := make(map[string]bool)
+	s.now = s.now.Add(20 * time.Second)
+	s.handle(0, LeavingObserved{Leaf: "fresh"})
+	sent := make(map[string]bool)
 	for range 300 {
-		d := f.machines[0].Digest(f.now)
+		d := s.machines[0].Digest(s.now)
 		if len(d.Leaving) != 9 || d.Leaving[0].Leaf != "fresh" {
-			t.Fatalf("marks of a digest: %v", d.Leaving)
+			t.Fatalf("observations of a digest: %v", d.Leaving)
 		}
 		for _, l := range d.Leaving {
-			told[l.Leaf] = true
+			sent[l.Leaf] = true
 		}
 	}
-	if len(told) != 201 {
-		t.Errorf("%d of 201 marks were told", len(told))
+	if len(sent) != 201 {
+		t.Errorf("%d of 201 observations were sent", len(sent))
 	}
 }
 
-// TestSlowRelaysDoNotKeepMarksAlive passes a mark back and forth over a slow
-// network, of whose delay the ages know nothing.
-func TestSlowRelaysDoNotKeepMarksAlive(t *testing.T) {
-	f := newFleet(2)
-	f.give(0, LeavingObserved{Leaf: "a"})
-	begin := f.now
-	for f.machines[0].Leaving("a") {
-		for i := range f.machines {
-			d := f.machines[i].Digest(f.now)
-			f.now = f.now.Add(500 * time.Millisecond)
-			f.give(1-i, DigestReceived{Digest: d})
+// TestSlowRelaysDoNotExtendObservations relays an observation back and forth over a slow
+// network, whose delay its age does not include.
+func TestSlowRelaysDoNotExtendObservations(t *testing.T) {
+	s := newSimulation(2)
+	s.handle(0, LeavingObserved{Leaf: "a"})
+	begin := s.now
+	for s.machines[0].Leaving("a") {
+		for i := range s.machines {
+			d := s.machines[i].Digest(s.now)
+			s.now = s.now.Add(500 * time.Millisecond)
+			s.handle(1-i, DigestReceived{Digest: d})
 		}
-		f.give(0, Tick{})
-		f.give(1, Tick{})
-		if life := f.now.Sub(begin); life > 125*time.Second {
-			t.Fatalf("the mark is alive after %v", life)
+		s.handle(0, Tick{})
+		s.handle(1, Tick{})
+		if life := s.now.Sub(begin); life > 125*time.Second {
+			t.Fatalf("the observation still counts after %v", life)
 		}
 	}
 }
 
-// TestChangesArePushedTogether lets many leaves leave at once.
+// TestChangesArePushedTogether lets many leaves leave at once: all entries learn of them
+// within few exchanges.
 func TestChangesArePushedTogether(t *testing.T) {
-	f := newFleet(8)
-	f.run(2 * time.Second)
-	before := f.sent
+	s := newSimulation(8)
+	s.run(2 * time.Second)
+	before := s.sent
 	for i := range 64 {
-		f.give(3, LeavingObserved{Leaf: fmt.Sprint(i)})
+		s.handle(3, LeavingObserved{Leaf: fmt.Sprint(i)})
 	}
-	f.run(time.Second)
+	s.run(time.Second)
 	for i := range 64 {
-		if got := f.knowing(fmt.Sprint(i)); got != 8 {
+		if got := s.countLeaving(fmt.Sprint(i)); got != 8 {
 			t.Errorf("%d of 8 entries know of leaf %d after 1 s", got, i)
 		}
 	}
-	if sent := f.sent - before; sent > 200 {
-		t.Errorf("%d exchanges to tell 64 marks", sent)
+	if sent := s.sent - before; sent > 200 {
+		t.Errorf("%d exchanges to spread 64 observations, want at most 200", sent)
 	}
 }
--- a/kernel/membership/messages.go
+++ b/kernel/membership/messages.go
@@ -1,7 +1,7 @@
-// Package membership is the state machine of who is there: entries and leaves
-// of the platform's list, which lags; leaves that say they are leaving; and
-// peers, from the digests that entries send each other. Nothing is agreed here:
-// each fact spreads by itself, ages, and is forgotten.
+// Package membership is the gossip state machine that tracks which entries (the instances
+// that run queries) and leaves are present. It merges the platform's list, which lags,
+// with the leaves' own reports that they are leaving and with the digests that entries
+// exchange. There is no consensus: each fact spreads independently, ages and expires.
 package membership
 
 import "time"
@@ -9,34 +9,33 @@
 // Instance is one line of the platform's list.
 type Instance struct {
 	ID          string
-	Entry       bool   // an entry, else a leaf
-	PeerAddress string // of an entry's peer listener, IP:port
+	Entry       bool   // an entry; otherwise a leaf
+	PeerAddress string // address of an entry's peer listener, IP:port
 	Leaving     bool
 }
 
-// Digest is what an entry tells a peer. Its lists are bounded.
+// Digest is the gossip message that an entry sends to a peer. Its lists are bounded.
 type Digest struct {
-	Instance    string
-	Generation  uint64
-	Hash        string
+	Instance    string // the sender
+	Generation  uint64 // of the configuration in force at the sender
+	Hash        string // of that configuration
 	Draining    bool
 	Leaving     []LeavingLeaf
 	Generations []RelayedGeneration
 }
 
-// LeavingLeaf is one leaf's mark with the age of its freshest observation, and the start of
-// the leaf that it is of; 0: not known.
+// LeavingLeaf is the latest observation that a leaf says it is leaving.
 type LeavingLeaf struct {
 	Leaf        string
-	StartedAtMS int64
-	Age         time.Duration
+	StartedAtMS int64         // the leaf's start to which it belongs, Unix milliseconds; 0: not known
+	Age         time.Duration // since the observation
 }
 
-// RelayedGeneration is another instance's generation with the age of the word.
+// RelayedGeneration is the generation in force at another instance, as the sender knows it.
 type RelayedGeneration struct {
 	Instance   string
 	Generation uint64
-	Age        time.Duration
+	Age        time.Duration // since it was current
 }
 
 // Event is an input of the machine.
@@ -45,33 +44,32 @@
 // ListRead gives the platform's list of instances.
 type ListRead struct{ Instances []Instance }
 
-// LeavingObserved says that a leaf marked itself as leaving, in a reply or when asked.
-// Born is the start of the leaf, 0: not known.
+// LeavingObserved reports that a leaf said that it is leaving, in a reply or when asked.
 type LeavingObserved struct {
 	Leaf        string
-	StartedAtMS int64
+	StartedAtMS int64 // the leaf's start, Unix milliseconds; 0: not known
 }
 
-// StartObserved says that a leaf reported a start that was not known before, in Unix milliseconds
-// of its own clock. A mark of an earlier start counts no more.
+// StartObserved reports that a leaf stated a start that was not known before. Observations
+// that an earlier start was leaving do not count any more.
 type StartObserved struct {
 	Leaf        string
-	StartedAtMS int64
+	StartedAtMS int64 // Unix milliseconds of the leaf's own clock
 }
 
 // DigestReceived gives a peer's digest.
 type DigestReceived struct{ Digest *Digest }
 
-// PeerFailed says that a peer did not answer.
+// PeerFailed reports that a peer did not answer.
 type PeerFailed struct{ Peer string }
 
-// PushNow asks to tell some peers at once, for a change outside of this machine.
+// PushNow asks for a push to some peers, for a change outside of this machine.
 type PushNow struct{}
 
-// Drain says that this instance is leaving.
+// Drain reports that this instance is leaving.
 type Drain struct{}
 
-// Tick says that a time asked for by WakeAt has passed.
+// Tick reports that the time of the last WakeAt has passed.
 type Tick struct{}
 
 func (ListRead) isEvent()        {}
@@ -86,19 +84,19 @@
 // Action is an output of the machine.
 type Action interface{ isAction() }
 
-// SendDigest exchanges digests with a peer.
+// SendDigest asks for an exchange of digests with a peer.
 type SendDigest struct{ Peer Peer }
 
-// MembershipChanged says that the set of leaving leaves or of entries is another.
+// MembershipChanged reports that the set of leaving leaves or the set of entries changed.
 type MembershipChanged struct{}
 
-// GenerationReported tells the generation in force at a peer.
+// GenerationReported reports the generation in force at a peer, for each digest received.
 type GenerationReported struct {
 	Peer       Peer
 	Generation uint64
 }
 
-// WakeAt asks for a Tick at or after At; it replaces an earlier wish.
+// WakeAt asks for a Tick at or after At; it replaces an earlier WakeAt.
 type WakeAt struct{ At time.Time }
 
 func (SendDigest) isAction()         {}
@@ -109,35 +107,36 @@
 // Peer is another entry.
 type Peer struct {
 	Instance string
-	Address  string // of its peer listener, IP:port
+	Address  string // address of its peer listener, IP:port
 }
 
-// Config sets the name, times and bounds.
+// Config sets the instance's name, the intervals and the bounds.
 type Config struct {
-	Instance string
-	// Interval is the time between rounds of digests.
+	Instance string // this instance
+	// Interval is the mean time between rounds of digests.
 	Interval time.Duration
-	// Fanout is the number of peers sent to in a round.
+	// Fanout is the number of peers that get a digest in a round.
 	Fanout int
-	// PushFanout is the number of peers sent to at once.
+	// PushFanout is the number of peers that get a digest in a push.
 	PushFanout int
-	// LeavingTTL is how long a observation of a leaving leaf counts. It must be
-	// longer than the list lags, since nobody sees the mark of a leaf that
-	// gets no work.
+	// LeavingTTL is how long an observation of a leaving leaf counts. It must be longer than
+	// the lag of the platform's list: a leaf that gets no work sends no replies in which
+	// it could be observed again. What is known of a peer expires after it too.
 	LeavingTTL time.Duration
-	// FreshFor is how long a observation is sent in every digest.
+	// FreshFor is how long an observation is sent in every digest.
 	FreshFor time.Duration
-	// PeerTTL is how long a peer counts after its last digest.
+	// PeerTTL is how long an entry that is not on the list may hold connections after
+	// the last sign of it.
 	PeerTTL time.Duration
 	// MaxLeaving and MaxGenerations bound the lists of a digest.
 	MaxLeaving     int
 	MaxGenerations int
 	// MaxAgedLeaving bounds the observations in a digest that are not fresh.
 	MaxAgedLeaving int
-	Seed           uint64
+	Seed           uint64 // of the random choices
 }
 
-// DefaultConfig returns the settings for production.
+// DefaultConfig returns the production configuration.
 func DefaultConfig(instance string, seed uint64) Config {
 	return Config{
 		Instance: instance, Seed: seed,
