--- a/kernel/plugin/policy.go
+++ b/kernel/plugin/policy.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// The registries. Each value constructs one independent policy instance.
+// The registries, one for each kind of policy. A registered constructor returns a new,
+// independent policy object.
 var (
 	Routings    = NewRegistry[func(RoutingConfig) Routing]("routing")
 	Orders      = NewRegistry[func() Order]("order")
@@ -15,36 +16,37 @@
 	Combiners   = NewRegistry[func() Combiner]("combiner")
 )
 
-// AttemptResult is the end of one dispatched attempt as policies see it.
+// AttemptResult is how one dispatched attempt ended.
 type AttemptResult struct {
-	// At most one of these is true; none is for an attempt that was cancelled
-	// or declined for another reason.
-	OK       bool // a whole reply came
+	// At most one of these four is true. None is true for an attempt that was cancelled
+	// or that the leaf declined for a reason other than overload.
+	OK       bool // a whole reply arrived
 	Shed     bool // the leaf declined it as overloaded
-	Failed   bool // no connection or a broken exchange
+	Failed   bool // the connection failed or the exchange broke off
 	TimedOut bool // the deadline passed while it ran
-	// Cancelled says that it was withdrawn while it ran, for instance because
-	// another copy answered first.
+	// Cancelled reports that the attempt was withdrawn while it ran, for instance because
+	// another attempt of the same sub-request was answered first.
 	Cancelled bool
 	// Latency is the time from dispatch to the end.
 	Latency time.Duration
-	// Service is the time it held a slot of the leaf, 0 when the leaf did not say.
+	// Service is how long the attempt held a slot of the leaf; 0 if the leaf did not say.
 	Service time.Duration
-	// Saturated says that the leaf's limit was reached when this attempt was
-	// dispatched, so that the limit and not the demand set the concurrency.
+	// Saturated reports that the leaf's limit was reached when the attempt was dispatched,
+	// so that the limit and not the demand determined the concurrency.
 	Saturated bool
-	// Backlog says that further work waits at this entry for the leaf's shard.
+	// Backlog reports that more work waits at this entry for the leaf's shard.
 	Backlog bool
 }
 
 // Candidate is a leaf that may take an attempt now.
 type Candidate struct {
-	// Key is a small integer that names the leaf for the machine's life.
+	// Key is a small integer that identifies the leaf for the life of the dispatch machine.
 	Key      int
-	InFlight int // attempts of this entry on the leaf
-	Limit    int // present limit of InFlight
-	Local    bool
-	// OldestAge is for how long the oldest of them has been out, 0 without any.
+	InFlight int  // this entry's attempts that run on the leaf
+	Limit    int  // present limit of InFlight
+	Local    bool // in the entry's own zone
+	// OldestAge is the time since the oldest attempt in flight was dispatched; 0 if there
+	// is none.
 	OldestAge time.Duration
 }
 
@@ -53,63 +55,66 @@
 	Rand *rand.Rand
 }
 
-// Routing chooses among the leaves of a shard. One instance serves one
-// upstream at one entry.
+// Routing chooses among the leaves of a shard. One Routing serves one upstream at one entry.
 type Routing interface {
-	// Usable reports whether the leaf may get ordinary work; peers is the
-	// number of leaves in its shard. An ejected leaf is not usable but for probes.
+	// Usable reports whether the leaf may take an attempt. An ejected leaf is usable only
+	// when a probe of it is due.
 	Usable(key int, now time.Time) bool
-	// Pick returns the index of the chosen candidate and a short reason.
+	// Pick returns the index of the chosen candidate and a short reason for the log.
 	// There is at least one candidate.
 	Pick(candidates []Candidate, now time.Time) (int, string)
-	// RecordResult reports an attempt's end.
-	RecordResult(key int, s AttemptResult, now time.Time)
-	// RecordLoadHint passes on what the load endpoint said; it may lie or lag.
+	// RecordResult reports how an attempt at the leaf ended.
+	RecordResult(key int, result AttemptResult, now time.Time)
+	// RecordLoadHint passes on what the leaf's load endpoint reported. The report may be
+	// wrong or late.
 	RecordLoadHint(key, inFlight, queued int, now time.Time)
 }
 
-// Observation is an outcome at a leaf that other instances should know of.
+// Observation is an outcome at a leaf that is worth sharing with other instances.
 type Observation struct {
 	Key int // Candidate.Key
-	// Elapsed is how long the attempt took, or was out before it was given up.
+	// Elapsed is how long the attempt took, or ran until it was given up.
 	Elapsed time.Duration
-	// Slow says that this was far more than usual; else it shows that a leaf
-	// which was reported to be slow is not.
+	// Slow reports that Elapsed was far more than usual. If false, the observation shows
+	// that a leaf which was reported to be slow is not.
 	Slow bool
 	At   time.Time
 }
 
-// ObservationSharer is a Routing that shares what it sees with other instances, and heeds them.
+// ObservationSharer is a Routing that exchanges observations of leaves with other instances.
+// The kernel finds it by a type assertion.
 type ObservationSharer interface {
-	// Observations returns what was seen since the last call.
+	// Observations returns the observations since the last call.
 	Observations() []Observation
-	// PeerReported takes another instance's report that a leaf took so long, at the given time.
-	PeerReported(key int, took time.Duration, at time.Time)
+	// PeerReported passes on another instance's report that an attempt at the leaf took
+	// the elapsed time, which was slow, at the given time.
+	PeerReported(key int, elapsed time.Duration, at time.Time)
 }
 
-// NearBestLister is a Routing that tells which candidates are about as good as the best.
+// NearBestLister is a Routing that lists the candidates that are about as good as the best.
+// The kernel finds it by a type assertion.
 type NearBestLister interface {
-	// NearBest returns their indexes, the best one first.
+	// NearBest returns the indexes of those candidates, the best one first.
 	NearBest(candidates []Candidate, now time.Time) []int
 }
 
-// Order decides which end of a queue is served.
+// Order decides which end of a queue is served first.
 type Order interface {
-	// ObserveOldestWait reports, at a moment of service, which share of its time the
-	// oldest attempt has waited, in [0, 1].
-	ObserveOldestWait(oldest float64, now time.Time)
-	// NewestFirst says that the newest query goes first.
+	// ObserveOldestWait reports, whenever the queue is served, the share of its allowed time
+	// that the oldest attempt has waited, in [0, 1].
+	ObserveOldestWait(waited float64, now time.Time)
+	// NewestFirst reports whether the newest attempt is served first.
 	NewestFirst() bool
 }
 
-// Limit decides how many attempts of this entry may be on one leaf at once.
+// Limit decides how many attempts of this entry may be in flight at one leaf.
 type Limit interface {
 	// Limit is the present limit, in [1, share] for a share of at least 1.
 	Limit() int
-	// SetShare gives the entry's connection share of the leaf.
+	// SetShare sets the entry's share of the leaf's connections.
 	SetShare(share int)
-	// RecordResult reports an attempt's end.
-	RecordResult(s AttemptResult, now time.Time)
+	// RecordResult reports how an attempt at the leaf ended.
+	RecordResult(result AttemptResult, now time.Time)
 }
 
 // RepetitionConfig is given to a repetition policy's constructor; see
@@ -121,45 +126,47 @@
 	Objective     time.Duration
 }
 
-// Repetition decides when a sub-request is sent again. One instance serves one
-// service at one entry.
+// Repetition decides when a sub-request is sent again, as a hedge or a retry. One Repetition
+// serves one service at one entry.
 type Repetition interface {
-	// Deposit credits one first sub-request.
+	// Deposit credits the budgets with the first attempt of one sub-request.
 	Deposit()
-	// HedgeAfter is how long to wait before a hedge; false means no hedge.
+	// HedgeAfter returns how long to wait before a hedge; false means no hedge.
 	HedgeAfter(q Quantiler) (time.Duration, bool)
-	// TakeHedge and TakeRetry spend from the budgets; false means not now.
+	// TakeHedge and TakeRetry spend from the budgets; false means that no hedge or retry
+	// may be sent now.
 	TakeHedge(now time.Time) bool
 	TakeRetry(now time.Time) bool
-	// RecordShed reports that a leaf or a queue refused work for overload.
+	// RecordShed reports that a leaf or a queue refused work because of overload.
 	RecordShed(now time.Time)
 }
 
 // Quantiler gives quantiles of an upstream's recent latency.
 type Quantiler interface {
-	// Quantile returns 0 while too little has been seen.
+	// Quantile returns 0 while it has too few samples.
 	Quantile(q float64) time.Duration
 }
 
 // PlacementConfig is given to a placement policy's constructor.
 type PlacementConfig struct {
-	// Headroom is the number of live entries that any entry's list may miss
-	// without the limit of a leaf being exceeded.
+	// Headroom is the number of live entries that may be missing from any entry's list
+	// without a leaf's connection limit being exceeded.
 	Headroom int
 }
 
-// Placement divides the leaves' connections among entries.
+// Placement divides each leaf's connection limit among the entries.
 type Placement interface {
-	// Share is the number of connections that entry self may hold to the leaf.
-	// entries is the live list that self sees, itself included.
+	// Share returns the number of connections that entry self may hold to the leaf.
+	// entries lists the live entries that self knows, itself included.
 	Share(leafID string, limit int, self string, entries []string) int
-	// Via returns the entry through which self reaches the leaf; self means directly.
+	// Via returns the entry through which self reaches the leaf; self itself means a
+	// direct connection.
 	Via(leafID, self string, entries []string) string
 }
 
 // Combiner merges the replies of a query's parts into one body.
 type Combiner interface {
-	// Combine returns at most most records of the bodies, in the combiner's
-	// order. The bodies stay as they are.
-	Combine(bodies [][]byte, most int) []byte
+	// Combine returns at most maxRecords records of the bodies, in the combiner's order.
+	// It does not modify the bodies.
+	Combine(bodies [][]byte, maxRecords int) []byte
 }
--- a/kernel/plugin/registry.go
+++ b/kernel/plugin/registry.go
@@ -1,6 +1,7 @@
-// Package plugin declares the policies that the kernel consults and the
-// registries in which their implementations register themselves from init.
-// Every kind of policy has a baseline implementation for side-by-side runs.
+// Package plugin declares the policies that the kernel consults and the registries in which
+// their implementations register themselves from init. Every kind of policy has a baseline
+// implementation to compare others with. An entry, in the comments, is an instance that runs
+// queries.
 package plugin
 
 import (
@@ -9,20 +10,20 @@
 	"strings"
 )
 
-// UnknownPluginError says that no plug-in of this kind has the name.
+// UnknownPluginError reports that no plug-in of the kind has the name.
 type UnknownPluginError struct {
 	Kind  string
 	Name  string
-	Known []string
+	Known []string // the registered names, in order
 }
 
-// Error names the kind, the name and what is registered.
+// Error names the kind, the name and the registered names.
 func (e *UnknownPluginError) Error() string {
 	return fmt.Sprintf("%s plug-in %q is unknown, want one of: %s", e.Kind, e.Name, strings.Join(e.Known, ", "))
 }
 
-// Registry maps names to constructors of one kind of policy. It is filled in
-// init and only read afterwards, so it needs no lock.
+// Registry maps names to constructors of one kind of policy. It is filled from init functions
+// and only read afterwards, so it needs no lock.
 type Registry[F any] struct {
 	kind    string
 	entries map[string]F
@@ -33,7 +34,7 @@
 	return &Registry[F]{kind: kind, entries: make(map[string]F)}
 }
 
-// Register adds a constructor. A repeated name is a programming error and panics.
+// Register adds a constructor. It panics if the name is registered already.
 func (r *Registry[F]) Register(name string, construct F) {
 	if _, dup := r.entries[name]; dup {
 		panic(fmt.Sprintf("%s plug-in %q is registered twice", r.kind, name))
--- a/kernel/plugin/registry_test.go
+++ b/kernel/plugin/registry_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestRegistry(t *testing.T) {
+func TestRegistryFindsAndRefusesNames(t *testing.T) {
 	r := NewRegistry[func() int]("number")
 	r.Register("two", func() int { return 2 })
 	r.Register("one", func() int { return 1 })
@@ -20,7 +20,7 @@
 	_, err = r.Get("three")
 	var unknown *UnknownPluginError
 	if !errors.As(err, &unknown) || unknown.Kind != "number" || unknown.Name != "three" || !slices.Equal(unknown.Known, r.Names()) {
-		t.Fatalf("error %v, want one that names what is known", err)
+		t.Fatalf("error %v, want one with the registered names", err)
 	}
 	defer func() {
 		if recover() == nil {
