--- a/kernel/query/config.go
+++ b/kernel/query/config.go
@@ -11,35 +11,35 @@
 // Versions before it hands the event to the machine.
 type VersionSource interface {
 	// Pin returns the version that covers the largest known share of the
-	// service, the newest of equals; 0 when nothing is known.
+	// service, the newest of equals; 0 if nothing is known.
 	Pin(service string) uint64
-	// Next returns the best version other than after; 0 when there is none.
+	// Next returns the best version other than after; 0 if there is none.
 	Next(service string, after uint64) uint64
-	// Share is the part in [0, 1] of the service's key space whose shards were
-	// last seen to serve the version.
+	// Share returns the fraction of the service's key space, in [0, 1], whose shards
+	// were last seen to serve the version.
 	Share(service string, version uint64) float64
-	// Serves reports whether anything is known of a leaf (an index in the
-	// view), and whether it was last seen to serve the version.
+	// Serves reports whether the versions of a leaf (an index in the view) are known,
+	// and whether it was last seen to serve this one.
 	Serves(leaf int, version uint64) (known, serves bool)
-	// Passed reports whether a leaf was last seen to serve only newer versions:
-	// since versions grow, it will not serve this one again.
+	// Passed reports whether a leaf was last seen to serve only newer versions. Since
+	// the versions of a leaf only grow, it will not serve this one again.
 	Passed(leaf int, version uint64) bool
 }
 
-// Budget limits repetition. Each call that returns true spends one token.
+// Budget limits hedges and retries. Each call that returns true takes one token.
 type Budget interface {
 	TakeHedge(now time.Time) bool
 	TakeRetry(now time.Time) bool
 }
 
-// ShardBudget limits the arrivals at a shard beyond the first of a request,
-// whatever their cause. Each call that returns true spends one. The indexes are
-// those of the query's current view.
+// ShardBudget limits the attempts that reach a shard beyond a request's first one,
+// hedges and retries alike. Each call that returns true takes one token. upstream is
+// an index in the query's current view, shard one in the upstream's shards.
 type ShardBudget interface {
 	TakeRepeat(upstream, shard int, now time.Time) bool
 }
 
-// Config is what a query needs to know. It is not changed by the machine.
+// Config holds the parameters of one query. The machine does not change it.
 type Config struct {
 	View     *view.View
 	Service  *view.Service
@@ -47,25 +47,27 @@
 	Deadline time.Time
 	Versions VersionSource
 	Budget   Budget
-	// ShardBudget bounds repetition by shard; nil sets no bound.
+	// ShardBudget limits repeated attempts by shard; nil sets no limit.
 	ShardBudget ShardBudget
-	// HedgeAfter is how long a sent attempt of the upstream may take before it
-	// is hedged; 0, or a nil function, means no hedge.
+	// HedgeAfter returns the time without a reply after which a sent attempt of the
+	// upstream is hedged; 0, or a nil function, means no hedge.
 	HedgeAfter func(upstream int) time.Duration
-	// SettleMargin is how long before its objective an answer is due, so that it
-	// reaches the caller in time; 0 means a fifth of the objective.
+	// SettleMargin is the time by which an answer without its missing parts is given
+	// before the latency objective, so that it reaches the caller in time; 0 means a
+	// fifth of the objective.
 	SettleMargin time.Duration
-	// Groups are parts that other instances are to gather; see Group.
+	// Groups are the shards that other instances are to gather; see Group.
 	Groups []Group
-	// OnlyShards limits the query to whole shards, for an instance that gathers them for
-	// another; nil: all shards. Such a query gives interim answers and is not settled.
+	// OnlyShards limits the query to these shards, for an instance that gathers them
+	// for another one; nil means all shards. Such a query emits interim answers and
+	// goes on until its end instead of settling for a partial answer.
 	OnlyShards []Group
-	// Canary runs one part alone before the rest.
+	// Canary runs one part alone first. The others follow when it has run to its end.
 	Canary bool
-	// Suspect marks a fingerprint that was on a leaf that broke: one part
-	// alone, and a second break ends the query.
+	// Suspect marks a request whose fingerprint was on a leaf when it crashed. One part
+	// runs alone first, and one more crash ends the query.
 	Suspect bool
-	// Seed is a hash of the fingerprint. It chooses the part that runs alone,
-	// so that all entries choose the same shard for one request.
+	// Seed is a hash of the request's fingerprint. It selects the part that runs alone,
+	// so that all entries select the same shard for one request.
 	Seed uint64
 }
--- a/kernel/query/group.go
+++ b/kernel/query/group.go
@@ -6,51 +6,53 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/keyrange"
 )
 
-// Group is a part of the query that another instance is asked to gather: whole
-// shards of one upstream. That instance asks their leaves and repeats within its own
-// limits. It replies when an answer is due with all that it has, and again with each
-// part that comes later.
+// Group is a set of whole shards of one upstream that another instance is asked to
+// gather: it queries their leaves and retries and hedges within its own limits. When an
+// answer is due it replies with all that it has, and again with each later part.
 type Group struct {
-	Upstream int // index in the view of the start
+	Upstream int // index in the view at the start of the query
 	Ranges   []keyrange.Range
 }
 
-// OfferGroup asks the runtime to have a group gathered. What was not accepted is
-// reported by NotSent, and asked of the leaves by this query then.
+// OfferGroup asks the runtime to have a group gathered by another instance. If none
+// accepts it, the runtime reports NotSent and this query asks the leaves itself.
 type OfferGroup struct {
 	Attempt AttemptID
 	Group   int // index in Config.Groups
 	Version uint64
 }
 
-// Gathered is a reply of the instance that gathers a group. What its last one leaves
-// uncovered is given up: the repetition that the route allows has been made there.
+// Gathered is a reply of the instance that gathers a group. Parts that its last reply
+// leaves uncovered are given up, since that instance has made the retries that the
+// route allows.
 type Gathered struct {
 	Attempt AttemptID
 	Version uint64
-	// Ranges are covered by this reply; none is a reply too.
+	// Ranges are the ranges that this reply covers; there may be none.
 	Ranges []keyrange.Range
-	// HasMore says that more replies may come.
+	// HasMore says that more replies may follow.
 	HasMore bool
 	// Sent, Hedges and Retries count that instance's attempts since its last reply.
 	Sent, Hedges, Retries int
-	// Attachment is the runtime's own, handed on with the answer unread.
+	// Attachment is opaque data of the runtime that is passed on to the Result.
 	Attachment any
 }
 
-// Interim is what a query of some shards only has when an answer is due, and again
-// with each part that comes later. It goes on until all is there or the deadline:
-// whoever asked for it knows whether the whole answer is useful without the rest.
+// Interim gives the answer so far of a query with OnlyShards, when an answer is due and
+// again with each later part. The query goes on until it is complete or the deadline has
+// passed: the instance that asked for the shards decides whether its whole answer is
+// useful without the rest.
 type Interim struct{ Answer Answer }
 
 func (OfferGroup) isAction() {}
 func (Interim) isAction()    {}
 func (Gathered) isEvent()    {}
 
-// askGroups offers the groups, each as one attempt of all of its parts. A request
-// that may break leaves is not handed on, nor is one that may run only once.
-func (m *Machine) askGroups() {
-	if !m.gate.open || m.cfg.Suspect || !m.idempotent() || m.moves > 0 {
+// offerGroups offers the groups, each as one attempt of all of its parts. A request that
+// may crash leaves or that is not idempotent is not delegated, nor is one whose version
+// has moved.
+func (m *Machine) offerGroups() {
+	if !m.gate.open || m.cfg.Suspect || !m.idempotent() || m.versionMoves > 0 {
 		return
 	}
 	for g := range m.cfg.Groups {
@@ -58,9 +60,9 @@
 	}
 }
 
-// offerGroup offers one group.
+// offerGroup offers the waiting parts of the group with the index g, if any.
 func (m *Machine) offerGroup(g int) {
-	parts := m.partsOf(&m.cfg.Groups[g])
+	parts := m.waitingParts(&m.cfg.Groups[g])
 	if len(parts) == 0 {
 		return
 	}
@@ -71,101 +73,104 @@
 		m.parts[i].live.add(id)
 	}
 	m.liveCount++
-	m.act(OfferGroup{Attempt: id, Group: g, Version: m.version})
+	m.emit(OfferGroup{Attempt: id, Group: g, Version: m.version})
 }
 
-// partsOf lists the waiting parts of a group.
-func (m *Machine) partsOf(g *Group) []int {
+// waitingParts lists the waiting parts of a group.
+func (m *Machine) waitingParts(g *Group) []int {
 	set := keyrange.NewSet(g.Ranges...)
 	var out []int
 	for i := range m.parts {
 		p := &m.parts[i]
-		if p.state == partWaiting && m.spaces[p.space].first == g.Upstream && set.Contains(p.need) {
+		if p.state == partWaiting && m.spaces[p.space].startUpstream == g.Upstream && set.Contains(p.keys) {
 			out = append(out, i)
 		}
 	}
 	return out
 }
 
-// sentGroup notes that another instance may run the group's parts from here on. It
-// may make all the attempts that the route allows.
-func (m *Machine) sentGroup(a *attempt) {
+// recordGroupSent records that another instance may run the group's parts. Each part
+// counts as if that instance made all the attempts that the route allows.
+func (m *Machine) recordGroupSent(a *attempt) {
 	m.count.groups++
 	for _, i := range a.group {
 		p := &m.parts[i]
-		p.reached = true
-		p.runs += max(1, m.cfg.Service.Config.Attempts)
+		p.reachedLeaf = true
+		p.possibleRuns += max(1, m.cfg.Service.Config.Attempts)
 	}
 }
 
-// gathered takes in the reply to a group.
-func (m *Machine) gathered(ev Gathered, now time.Time) {
-	p := m.lookup(ev.Attempt)
-	if p == nil || p.group == nil || p.state != stateSent {
+// handleGathered takes in the reply to a group.
+func (m *Machine) handleGathered(ev Gathered, now time.Time) {
+	a := m.findAttempt(ev.Attempt)
+	if a == nil || a.group == nil || a.state != stateSent {
 		m.count.ignored++
 		return
 	}
 	m.count.sent += ev.Sent
 	m.count.hedges += ev.Hedges
 	m.count.retries += ev.Retries
-	if m.takeGroup(*p, ev) {
-		m.checkSettle(now)
+	if m.acceptGroupReply(*a, ev) {
+		m.scheduleSettle(now)
 	}
 	if ev.HasMore {
-		m.shrink(ev.Attempt, p)
+		m.dropCoveredParts(ev.Attempt, a)
 		return
 	}
-	m.end(ev.Attempt, stateReplied)
-	for _, i := range p.group {
-		m.settleGrouped(i)
+	m.endAttempt(ev.Attempt, stateReplied)
+	for _, i := range a.group {
+		m.closeGroupPart(i)
 	}
 }
 
-// shrink settles the parts of a group that are covered; the others are awaited.
-func (m *Machine) shrink(id AttemptID, a *attempt) {
+// dropCoveredParts removes the covered parts from a group's attempt, which stays live
+// for the others. The attempt ends if there are none.
+func (m *Machine) dropCoveredParts(id AttemptID, a *attempt) {
 	var left []int
 	for _, i := range a.group {
 		p := &m.parts[i]
-		if !m.current().covered.Covers(p.space, p.need) {
+		if !m.currentResults().covered.Covers(p.space, p.keys) {
 			left = append(left, i)
 			continue
 		}
-		p.live.drop(id)
-		m.cover(i)
+		p.live.remove(id)
+		m.markCovered(i)
 	}
 	a.group = left
 	if len(left) == 0 {
-		m.end(id, stateReplied)
+		m.endAttempt(id, stateReplied)
 	}
 }
 
-// takeGroup keeps what a group's reply covers. Nothing of a reply is taken that
-// states another version, or keys that are not of the group or are held already.
-func (m *Machine) takeGroup(a attempt, ev Gathered) bool {
+// acceptGroupReply stores a group's reply and reports whether it did. It rejects the
+// whole reply if this states another version, keys outside of the group or keys that are
+// covered already.
+func (m *Machine) acceptGroupReply(a attempt, ev Gathered) bool {
 	if len(ev.Ranges) == 0 {
 		return false
 	}
 	if m.version == 0 {
-		m.pinFirst(ev.Version)
+		m.pinFirstVersion(ev.Version)
 	}
 	space := m.parts[a.part].space
 	set := keyrange.NewSet(ev.Ranges...)
-	if ev.Version != m.version || !m.within(a.group, ev.Ranges, set.Size()) ||
-		!m.current().add(stored{space: space, ranges: set.Ranges(), leaf: noLeaf, carried: ev.Attachment}) {
+	if ev.Version != m.version || !m.isWithinGroup(a.group, ev.Ranges, set.Size()) ||
+		!m.currentResults().addReply(acceptedReply{space: space, ranges: set.Ranges(), leaf: noLeaf, attachment: ev.Attachment}) {
 		m.count.ignored++
 		return false
 	}
-	m.openGate() // leaves ran the request to its end
-	m.score(ev.Version)
+	m.openGate() // leaves ran the request to its end, so it is safe
+	m.updateBestVersion(ev.Version)
 	return true
 }
 
-// within reports whether ranges are disjoint, which their joint size shows, and
-// of a group's parts.
-func (m *Machine) within(group []int, ranges []keyrange.Range, joint uint64) bool {
+// isWithinGroup reports whether the ranges are disjoint and within the given parts.
+// unionSize is the number of keys in the union of the ranges; disjoint ranges have as
+// many in sum.
+func (m *Machine) isWithinGroup(parts []int, ranges []keyrange.Range, unionSize uint64) bool {
 	var own keyrange.Set
-	for _, i := range group {
-		own.Add(m.parts[i].need)
+	for _, i := range parts {
+		own.Add(m.parts[i].keys)
 	}
 	var sum uint64
 	for _, r := range ranges {
@@ -174,66 +179,68 @@
 		}
 		sum += r.Size()
 	}
-	return sum == joint
+	return sum == unionSize
 }
 
-// settleGrouped settles a part of a group after its last reply.
-func (m *Machine) settleGrouped(i int) {
-	if !m.idle(i) {
+// closeGroupPart marks a part as covered or gives it up after the last reply of its
+// group.
+func (m *Machine) closeGroupPart(i int) {
+	if !m.isIdle(i) {
 		return
 	}
-	if m.current().covered.Covers(m.parts[i].space, m.parts[i].need) {
-		m.cover(i)
+	if m.currentResults().covered.Covers(m.parts[i].space, m.parts[i].keys) {
+		m.markCovered(i)
 		return
 	}
-	m.giveUp(i, MissingNotGathered)
+	m.giveUpPart(i, MissingNotGathered)
 }
 
-// groupNotSent handles the word that no instance took the group over: its parts are
-// asked here, as if it had not been offered.
-func (m *Machine) groupNotSent(a attempt) {
+// askGroupLocally asks the leaves for the parts of a group that no instance accepted,
+// as if it had not been offered.
+func (m *Machine) askGroupLocally(a attempt) {
 	for _, i := range a.group {
-		if m.idle(i) {
-			m.ask(i, attempt{})
+		if m.isIdle(i) {
+			m.askPart(i, attempt{})
 		}
 	}
 }
 
-// groupLost handles the loss of the instance that gathered a group. How often the
-// leaves were asked is not known, so they are asked again only where the route sets
-// no bound.
-func (m *Machine) groupLost(a attempt, now time.Time) {
+// retryLostGroup handles the loss of the instance that gathered a group. How often that
+// instance asked the leaves is unknown, so the parts are asked again only if the route
+// sets no limit of attempts.
+func (m *Machine) retryLostGroup(a attempt, now time.Time) {
 	for _, i := range a.group {
-		m.retryPart(i, failure{reason: MissingBroken, ran: true, costs: true}, now)
+		m.retryPart(i, failure{reason: MissingBroken, mayHaveRun: true, spendsRetry: true}, now)
 	}
 }
 
-// leave ends a group's attempt because one of its parts is settled otherwise; the
-// others are asked here.
-func (m *Machine) leave(id AttemptID, settled int, now time.Time) {
-	a := *m.lookup(id)
-	m.withdraw(id)
+// splitGroup withdraws a group's attempt because the part with the index done needs no
+// attempt any more. This query asks the leaves for the other parts.
+func (m *Machine) splitGroup(id AttemptID, done int, now time.Time) {
+	a := *m.findAttempt(id)
+	m.withdrawAttempt(id)
 	for _, i := range a.group {
-		if i == settled {
+		if i == done {
 			continue
 		}
 		if a.state == stateSent {
-			m.retryPart(i, failure{reason: MissingBroken, ran: true, costs: true}, now)
-		} else if m.idle(i) {
-			m.ask(i, attempt{})
+			m.retryPart(i, failure{reason: MissingBroken, mayHaveRun: true, spendsRetry: true}, now)
+		} else if m.isIdle(i) {
+			m.askPart(i, attempt{})
 		}
 	}
 }
 
-// tellInterim gives what a query of some shards only has so far, once it is due.
-func (m *Machine) tellInterim(now time.Time) {
-	if m.cfg.OnlyShards == nil || m.finished || m.settle.IsZero() || now.Before(m.settle) {
+// emitInterim emits the answer so far of a query with OnlyShards, once it is due and
+// whenever the share has grown since the last one.
+func (m *Machine) emitInterim(now time.Time) {
+	if m.cfg.OnlyShards == nil || m.finished || m.settleAt.IsZero() || now.Before(m.settleAt) {
 		return
 	}
-	share := m.share(m.version)
-	if m.reported && share <= m.reportedShare {
+	share := m.coveredShare(m.version)
+	if m.interimGiven && share <= m.interimShare {
 		return
 	}
-	m.reported, m.reportedShare = true, share
-	m.act(Interim{Answer: m.answer(MissingSettled)})
+	m.interimGiven, m.interimShare = true, share
+	m.emit(Interim{Answer: m.buildAnswer(MissingSettled)})
 }
--- a/kernel/query/hedge.go
+++ b/kernel/query/hedge.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// hedgeQueue orders sent attempts by the time at which they are hedged.
+// hedgeQueue is a heap of sent attempts, ordered by the time at which to hedge them.
 type hedgeQueue []hedgeEntry
 
-// hedgeEntry is one sent attempt.
+// hedgeEntry is a sent attempt and the time at which to hedge it.
 type hedgeEntry struct {
 	due time.Time
 	id  AttemptID
@@ -34,16 +34,16 @@
 	return x
 }
 
-// next is the earliest due time.
-func (q hedgeQueue) next() (time.Time, bool) {
+// nextDue returns the earliest due time; false if the queue is empty.
+func (q hedgeQueue) nextDue() (time.Time, bool) {
 	if len(q) == 0 {
 		return time.Time{}, false
 	}
 	return q[0].due, true
 }
 
-// scheduleHedge notes when a sent attempt is to be hedged, if it may be.
-// Hedging repeats work that may still run: only idempotent requests allow it.
+// scheduleHedge queues a sent attempt for a hedge, if it may be hedged. A hedge
+// repeats work that may still run, so only idempotent requests are hedged.
 func (m *Machine) scheduleHedge(id AttemptID, a *attempt, now time.Time) {
 	p := &m.parts[a.part]
 	after := m.spaces[p.space].hedgeAfter
@@ -53,33 +53,35 @@
 	heap.Push(&m.hedges, hedgeEntry{due: now.Add(after), id: id})
 }
 
-// fireHedges starts the hedges that are due and drops those not needed.
-func (m *Machine) fireHedges(now time.Time) {
+// startDueHedges offers the hedges that are due and drops the entries of attempts
+// that have ended.
+func (m *Machine) startDueHedges(now time.Time) {
 	for len(m.hedges) > 0 && !m.finished {
 		top := m.hedges[0]
-		a := m.lookup(top.id)
+		a := m.findAttempt(top.id)
 		if a.state == stateSent && top.due.After(now) {
 			return
 		}
 		heap.Pop(&m.hedges)
 		if a.state == stateSent {
-			m.hedge(a.part, now)
+			m.hedgePart(a.part, now)
 		}
 	}
 }
 
-// hedge offers a second attempt of a part.
-func (m *Machine) hedge(i int, now time.Time) {
+// hedgePart offers a second attempt of a part, if the part still waits for its first
+// one and the budgets allow it.
+func (m *Machine) hedgePart(i int, now time.Time) {
 	p := &m.parts[i]
 	if p.state != partOpen || p.live.n != 1 || p.hedged || !m.gate.open {
 		return
 	}
-	if !now.Before(m.cfg.Deadline) || !m.hasOther(p) || !m.mayRunAgain(p) {
+	if !now.Before(m.cfg.Deadline) || !m.hasUntriedLeaf(p) || !m.mayRunAgain(p) {
 		return
 	}
-	if !m.cfg.Budget.TakeHedge(now) || !m.mayArrive(p, now) {
+	if !m.cfg.Budget.TakeHedge(now) || !m.takeShardRepeat(p, now) {
 		return
 	}
 	p.hedged = true
-	m.offer(i, attempt{hedge: true})
+	m.offerPart(i, attempt{hedge: true})
 }
--- a/kernel/query/machine.go
+++ b/kernel/query/machine.go
@@ -8,123 +8,125 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/view"
 )
 
-// Bounds of one query's work.
+// Limits of one query.
 const (
-	maxMoves = 3 // changes of the pinned version
-	maxTries = 4 // attempts of one part at one version, hedges not counted
+	maxVersionMoves = 3 // changes of the pinned version
+	maxPartTries    = 4 // attempts of one part at one version, hedges not counted
 )
 
-// Machine is the state machine of one query. It is used by one goroutine at a
-// time, and is done when it has returned Finish.
+// Machine is the state machine of one query. It is not safe for concurrent use. It has
+// ended when it has returned Finish.
 type Machine struct {
 	cfg    Config
 	view   *view.View
-	spaces []space
-
-	version uint64 // pinned; 0 until it is known
-	moves   int
-	tallies map[uint64]*tally
-	best    uint64 // the version with the most coverage
-	grids   []*coverage.Grid
-
-	parts    []part
-	open     int     // parts that are asked or wait
-	given    float64 // share given up at the pinned version
-	attempts []attempt
-	// liveCount is the number of attempts whose end is awaited.
+	spaces []upstreamSpace
+
+	version          uint64 // pinned; 0 until it is known
+	versionMoves     int
+	resultsByVersion map[uint64]*versionResults
+	bestVersion      uint64           // the version with the most coverage; the newest of equals
+	grids            []*coverage.Grid // by space
+
+	parts        []part
+	openParts    int     // parts that are open or waiting
+	givenUpShare float64 // share given up at the pinned version
+	attempts     []attempt
+	// liveCount is the number of live attempts.
 	liveCount int
-	// mayHaveRun is the number of attempts that are not proved not run.
+	// mayHaveRun is the number of attempts that a leaf ran or may have run.
 	mayHaveRun int
 
-	gate   gate
-	hedges hedgeQueue
-	settle time.Time // when the rest is not waited for any more
-	// reported and reportedShare are of the last interim answer.
-	reported      bool
-	reportedShare float64
-	wake          time.Time // the wish last returned
-	slowest       time.Duration
-
-	count      counts
-	retryAfter time.Duration
-	failure    any    // the last failure that a leaf stated
-	reason     string // the first reason a part was given up for
-	finished   bool
-	out        []Action
+	gate     gate
+	hedges   hedgeQueue
+	settleAt time.Time // when to answer without the missing parts; zero until it is set
+	// interimGiven is set once an interim answer was given; interimShare is the share of
+	// the last one.
+	interimGiven bool
+	interimShare float64
+	wakeAt       time.Time     // the time of the last WakeAt
+	slowestReply time.Duration // longest time from Sent to Reply
+
+	count       counts
+	retryAfter  time.Duration // longest hint of the queue or the quarantine
+	leafFailure any           // the last failure that a leaf stated
+	firstReason string        // the reason of the first part that was given up
+	finished    bool
+	actions     []Action
 }
 
-// space is one upstream of the query.
-type space struct {
-	first      int // upstream index in the view of the start, given in the answer
-	now        int // upstream index in the current view, or noUpstream
-	hedgeAfter time.Duration
-	cells      []int // by cell of the grid: its first part plus one, 0 for none
-	order      []int // shards by start, built when first needed
-	// only are the keys that the query is limited to; nil: it is not.
-	only *keyrange.Set
+// upstreamSpace is the key space of one upstream of the query.
+type upstreamSpace struct {
+	startUpstream   int // upstream index in the view at the start of the query, used in the answer
+	currentUpstream int // upstream index in the current view, or noUpstream
+	hedgeAfter      time.Duration
+	cellHeads       []int // by cell of the grid: index of its first part plus one; 0 for none
+	shardOrder      []int // shard indexes by first key; nil until shardsOverlapping needs it
+	// limit holds the keys that the query is limited to; nil if it has no limit.
+	limit *keyrange.Set
 }
 
-// counts are given in the answer.
+// counts are the counters of the answer.
 type counts struct{ sent, hedges, retries, ignored, groups int }
 
-// New returns the machine of one query; Begin starts it.
+// New returns the machine of one query. The event Begin starts it.
 func New(cfg Config) *Machine {
-	m := &Machine{cfg: cfg, view: cfg.View, tallies: make(map[uint64]*tally, 1)}
+	m := &Machine{cfg: cfg, view: cfg.View, resultsByVersion: make(map[uint64]*versionResults, 1)}
 	m.gate.open = !cfg.Canary && !cfg.Suspect
 	return m
 }
 
-// Handle takes an event and returns the actions it causes. The slice is valid
-// until the next call. After Finish it returns nothing.
+// Handle processes an event and returns the actions to take, in order. The slice is
+// valid until the next call. After Finish it returns nil.
 func (m *Machine) Handle(ev Event, now time.Time) []Action {
-	m.out = m.out[:0]
+	m.actions = m.actions[:0]
 	if m.finished {
 		return nil
 	}
-	m.apply(ev, now)
-	m.fireHedges(now)
-	m.conclude(now)
-	m.tellInterim(now)
-	m.nextProbe(now)
-	m.wish(now)
-	return m.out
+	m.applyEvent(ev, now)
+	m.startDueHedges(now)
+	m.finishIfDone(now)
+	m.emitInterim(now)
+	m.offerNextProbe(now)
+	m.requestWake(now)
+	return m.actions
 }
 
-// apply changes the state by one event.
-func (m *Machine) apply(ev Event, now time.Time) {
+// applyEvent changes the state by one event.
+func (m *Machine) applyEvent(ev Event, now time.Time) {
 	switch ev := ev.(type) {
 	case Begin:
 		m.begin()
 	case Sent:
-		m.sent(ev, now)
+		m.handleSent(ev, now)
 	case Reply:
-		m.reply(ev, now)
+		m.handleReply(ev, now)
 	case Declined:
-		m.declined(ev, now)
+		m.handleDeclined(ev, now)
 	case NotSent:
-		m.notSent(ev, now)
+		m.handleNotSent(ev, now)
 	case Broken:
-		m.broken(ev, now)
+		m.handleBroken(ev, now)
 	case Gathered:
-		m.gathered(ev, now)
+		m.handleGathered(ev, now)
 	case ViewChanged:
-		m.viewChanged(ev.View, now)
+		m.handleViewChanged(ev.View, now)
 	case Cleared:
-		m.cleared()
+		m.handleCleared()
 	case Quarantined:
 		m.retryAfter = max(m.retryAfter, ev.RetryAfter)
 		m.finish(string(ReasonQuarantined))
 	case Cancel:
 		m.finish(MissingCancelled)
 	case Tick:
-		// Time is looked at after every event.
+		// Handle checks all timers after each event.
 	}
 }
 
-// act appends an action.
-func (m *Machine) act(a Action) { m.out = append(m.out, a) }
+// emit appends an action.
+func (m *Machine) emit(a Action) { m.actions = append(m.actions, a) }
 
-// begin pins the version and asks every part.
+// begin pins the version and asks all parts. A non-idempotent request pins none and
+// goes to its first upstream only.
 func (m *Machine) begin() {
 	if m.spaces != nil {
 		return
@@ -138,21 +140,22 @@
 	}
 	m.parts = make([]part, 0, m.cfg.Service.Shards)
 	m.attempts = make([]attempt, 0, m.cfg.Service.Shards)
-	m.spaces = make([]space, len(upstreams))
+	m.spaces = make([]upstreamSpace, len(upstreams))
 	for i, u := range upstreams {
-		m.spaces[i] = space{first: u, now: u, only: m.only(u)}
+		m.spaces[i] = upstreamSpace{startUpstream: u, currentUpstream: u, limit: m.limitOf(u)}
 		if m.cfg.HedgeAfter != nil {
 			m.spaces[i].hedgeAfter = m.cfg.HedgeAfter(u)
 		}
 	}
 	if m.cfg.OnlyShards != nil && m.cfg.Service.Config.Objective > 0 {
-		m.settle = m.settleTime(m.cfg.Start)
+		m.settleAt = m.settleTime(m.cfg.Start)
 	}
-	m.plan()
+	m.planParts()
 }
 
-// only is the keys of an upstream that the query is limited to; nil: it is not.
-func (m *Machine) only(upstream int) *keyrange.Set {
+// limitOf returns the keys of an upstream that the query is limited to, or nil if it
+// has no limit.
+func (m *Machine) limitOf(upstream int) *keyrange.Set {
 	if m.cfg.OnlyShards == nil {
 		return nil
 	}
@@ -171,13 +174,14 @@
 // idempotent reports whether an attempt may be repeated after it may have run.
 func (m *Machine) idempotent() bool { return m.cfg.Service.Config.Idempotent }
 
-// newGrids returns the universe of each space, cut into cells at the shards of
-// the current view. The universe never changes within a query; that of a
-// non-idempotent one is the one shard that it goes to.
+// newGrids returns one grid for each space: the whole key range of the space (its
+// universe), cut into cells at the shards of the current view. The universe stays the
+// same during a query. For a non-idempotent request it is the range of the first
+// shard, the only one that is asked.
 func (m *Machine) newGrids() []*coverage.Grid {
 	grids := make([]*coverage.Grid, len(m.spaces))
 	for i := range m.spaces {
-		up := &m.cfg.View.Upstreams[m.spaces[i].first]
+		up := &m.cfg.View.Upstreams[m.spaces[i].startUpstream]
 		universe := keyrange.Range{To: up.KeySpace}
 		if !m.idempotent() && len(up.Shards) > 0 {
 			universe = up.Shards[0].Range
@@ -192,51 +196,54 @@
 	return grids
 }
 
-// conclude finishes the query when there is nothing to wait for.
-func (m *Machine) conclude(now time.Time) {
+// finishIfDone finishes the query when it is complete, a timer has expired or nothing
+// more can be covered, also after a move to another version.
+func (m *Machine) finishIfDone(now time.Time) {
 	switch {
 	case m.finished || m.spaces == nil:
-	case m.current().covered.Complete():
+	case m.currentResults().covered.Complete():
 		m.finish("")
 	case !now.Before(m.cfg.Deadline):
 		m.finish(MissingDeadline)
-	case m.cfg.OnlyShards == nil && !m.settle.IsZero() && !now.Before(m.settle):
+	case m.cfg.OnlyShards == nil && !m.settleAt.IsZero() && !now.Before(m.settleAt):
 		m.finish(MissingSettled)
-	case m.tryMove(now):
-		m.conclude(now)
-	case m.open == 0, m.hopeless():
-		m.finish(m.reason)
+	case m.tryMoveVersion(now):
+		m.finishIfDone(now)
+	case m.openParts == 0, m.isCoverageUnreachable():
+		m.finish(m.firstReason)
 	}
 }
 
-// hopeless reports whether the least coverage is out of reach and nothing has
-// run yet: then a refusal now is worth more than a useless answer later.
-func (m *Machine) hopeless() bool {
+// isCoverageUnreachable reports whether the least coverage can't be reached any more
+// and nothing has run yet. The query is refused then at once, rather than answered
+// later with too little coverage.
+func (m *Machine) isCoverageUnreachable() bool {
 	if m.cfg.OnlyShards != nil {
-		return false // whoever asked for these shards knows what is enough
+		return false // the instance that asked for these shards decides what is enough
 	}
 	least := m.cfg.Service.Config.LeastCoverage
-	return m.mayHaveRun == 0 && m.given > 0 && 1-m.given < least-shareTolerance
+	return m.mayHaveRun == 0 && m.givenUpShare > 0 && 1-m.givenUpShare < least-shareTolerance
 }
 
-// wish asks for a wake-up when the next one is earlier than that last returned.
-func (m *Machine) wish(now time.Time) {
+// requestWake emits a WakeAt for the next timer, unless the last one is still ahead
+// and not later.
+func (m *Machine) requestWake(now time.Time) {
 	if m.finished || m.spaces == nil {
 		return
 	}
 	at := m.cfg.Deadline
-	if !m.settle.IsZero() && m.settle.Before(at) && !m.reported {
-		at = m.settle
+	if !m.settleAt.IsZero() && m.settleAt.Before(at) && !m.interimGiven {
+		at = m.settleAt
 	}
-	if due, ok := m.hedges.next(); ok && due.Before(at) {
+	if due, ok := m.hedges.nextDue(); ok && due.Before(at) {
 		at = due
 	}
-	if m.gate.after.After(now) && m.gate.after.Before(at) {
-		at = m.gate.after
+	if m.gate.notBefore.After(now) && m.gate.notBefore.Before(at) {
+		at = m.gate.notBefore
 	}
-	stale := m.wake.IsZero() || !m.wake.After(now)
-	if stale || at.Before(m.wake) {
-		m.wake = at
-		m.act(WakeAt{At: at})
+	stale := m.wakeAt.IsZero() || !m.wakeAt.After(now)
+	if stale || at.Before(m.wakeAt) {
+		m.wakeAt = at
+		m.emit(WakeAt{At: at})
 	}
 }
--- a/kernel/query/messages.go
+++ b/kernel/query/messages.go
@@ -1,6 +1,8 @@
-// Package query is the state machine of one query: it fans a request out over
-// the shards of its service's upstreams, keeps replies by index version,
-// computes coverage from replies only, and derives the one truthful outcome.
+// Package query is the state machine of one query. It fans a request out over the
+// shards of its service's upstreams, with retries, hedges and canaries, and collects the
+// replies by index version. It computes the coverage from these replies alone and
+// derives the outcome. It does no I/O: the runtime feeds it events and carries out its
+// actions.
 package query
 
 import (
@@ -10,8 +12,9 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/view"
 )
 
-// AttemptID names one attempt of one query at this entry; unguessable on the
-// wire, where the runtime maps it to a random token.
+// AttemptID identifies an attempt within its query; the first one is 1. It does not
+// leave the process: on the wire the runtime uses a random token instead, which can't
+// be guessed.
 type AttemptID uint64
 
 // Part is a range of one upstream's key space.
@@ -26,70 +29,71 @@
 // Begin starts the query.
 type Begin struct{}
 
-// Sent says that the attempt's bytes may have reached the leaf: from here on
-// it is not provably not run until the leaf declines. The runtime reports it
-// before it writes the first byte, and writes none if the attempt was
-// withdrawn or the query finished by then: a "not run" answer rests on this.
+// Sent says that the attempt's bytes may have reached the leaf. From then on the
+// attempt may have run, unless the leaf declines it. The runtime reports Sent before it
+// writes the first byte, and writes nothing if the attempt was withdrawn or the query
+// finished by then. The outcome "not run" relies on this.
 type Sent struct {
 	Attempt AttemptID
 	Leaf    int
 }
 
-// Reply is a whole, checked reply of a leaf.
+// Reply is a complete reply of a leaf whose encoding the runtime has checked.
 type Reply struct {
 	Attempt  AttemptID
 	Leaf     int
 	Version  uint64
 	Ranges   []keyrange.Range
 	Body     []byte
-	Versions []uint64 // what the leaf serves now
-	// Attachment is the runtime's own, handed on with the answer unread.
+	Versions []uint64 // all versions that the leaf serves
+	// Attachment is opaque data of the runtime that is passed on to the Result.
 	Attachment any
 }
 
-// Declined is a leaf's word that it did not run the attempt.
+// Declined is a leaf's statement that it did not run the attempt.
 type Declined struct {
 	Attempt  AttemptID
 	Leaf     int
 	Reason   DeclineReason
-	Versions []uint64 // what the leaf serves now, when it says so
-	Ranges   []keyrange.Range
+	Versions []uint64         // all versions that the leaf serves, if stated
+	Ranges   []keyrange.Range // the ranges that the leaf holds, for ReasonWrongRange
 }
 
-// NotSent says that the attempt provably never reached a leaf: the queue
-// refused it or the dial failed.
+// NotSent says that the attempt never reached a leaf: the queue refused it or the
+// dial failed.
 type NotSent struct {
 	Attempt AttemptID
 	Reason  DeclineReason
-	// Leaf is the leaf of a failed dial; it counts for ReasonDialFailed only.
+	// Leaf is the leaf of a failed dial; it is only used with ReasonDialFailed.
 	Leaf int
-	// RetryAfter is the queue's hint, when it gave one.
+	// RetryAfter is the queue's hint when to come back; 0 if it gave none.
 	RetryAfter time.Duration
 }
 
-// Broken says that the connection broke, timed out or answered nonsense after
-// Sent: the attempt may have run.
+// Broken says that after Sent the connection broke, timed out or brought a malformed
+// reply: the attempt may have run.
 type Broken struct {
 	Attempt AttemptID
 	Leaf    int
 	Cause   string
-	// Crash marks a connection that the leaf closed with the request in a slot.
+	// Crash is set if the leaf closed the connection while the request had one of its
+	// slots.
 	Crash bool
-	// Failure is a failure that the leaf stated, which a caller may be given
-	// when nothing better comes; nil when it stated none.
+	// Failure is the failure that the leaf stated, which the caller may get if no
+	// reply is accepted; nil if it stated none.
 	Failure any
 }
 
-// Tick says that a wake-up time asked for by WakeAt has passed.
+// Tick says that the time of a WakeAt has passed.
 type Tick struct{}
 
-// Cancel says that the caller has gone.
+// Cancel says that the caller does not wait for the answer any more.
 type Cancel struct{}
 
-// ViewChanged gives a newer view: what is offered from here on is planned by
-// its shards and uses its indexes. The events of an attempt name leaves by the
-// view of its Offer; the answer's parts use the indexes of the view that the
-// query started with.
+// ViewChanged gives a newer view. Later offers are planned by its shards and use its
+// indexes. The events of an attempt use the leaf indexes of the view at its Offer, and
+// the parts of the answer use the upstream indexes of the view at the start of the
+// query.
 type ViewChanged struct{ View *view.View }
 
 // Cleared says that another query has shown the request to be safe.
@@ -110,20 +114,20 @@
 func (Cleared) isEvent()     {}
 func (Quarantined) isEvent() {}
 
-// DeclineReason says why an attempt did not run.
+// DeclineReason says why an attempt did not run, in Declined and NotSent.
 type DeclineReason string
 
-// The reasons of an attempt that did not run.
+// The reasons for which an attempt did not run.
 const (
-	ReasonOverloaded   DeclineReason = "overloaded"    // the leaf sheds or the queue has no room
+	ReasonOverloaded   DeclineReason = "overloaded"    // the leaf sheds load or the queue is full
 	ReasonWrongVersion DeclineReason = "wrong_version" // the leaf does not serve the pinned version
 	ReasonWrongRange   DeclineReason = "wrong_range"   // the leaf does not hold the range
-	ReasonDraining     DeclineReason = "draining"      // the leaf is leaving
-	ReasonDeadline     DeclineReason = "deadline"      // it could not finish in time
+	ReasonDraining     DeclineReason = "draining"      // the leaf is draining
+	ReasonDeadline     DeclineReason = "deadline"      // the attempt could not finish in time
 	ReasonDialFailed   DeclineReason = "dial_failed"   // no connection was made
-	ReasonNoLeaf       DeclineReason = "no_leaf"       // no leaf may take it
+	ReasonNoLeaf       DeclineReason = "no_leaf"       // the shard has no eligible leaf
 	ReasonQuarantined  DeclineReason = "quarantined"   // the fingerprint is in quarantine
-	ReasonNotAccepted  DeclineReason = "not_accepted"  // no other instance took the group over
+	ReasonNotAccepted  DeclineReason = "not_accepted"  // no other instance accepted the group
 )
 
 // Action is an output of the machine.
@@ -135,30 +139,34 @@
 	Part    Part
 	Shard   int    // shard index within the upstream
 	Version uint64 // pinned index version; 0 means any
-	// Avoid lists leaves (view indexes) that earlier attempts of the part used.
+	// Avoid lists the leaves not to choose, as indexes in the current view: those of
+	// the part's earlier attempts, those that lack the version, and for a probe all but
+	// the selected one.
 	Avoid []int
-	// Hedge and Retry mark repetition, for budgets and for extra-load accounts.
+	// Hedge and Retry mark repeated attempts, for budgets and accounting of extra load.
 	Hedge, Retry bool
-	// Solo asks for a leaf alone: a canary or a suspect.
+	// Solo asks for a leaf that runs nothing else meanwhile: the attempt is a probe of a
+	// canary or of a suspect request.
 	Solo     bool
 	Deadline time.Time
 }
 
-// Withdraw cancels an attempt, queued or running.
+// Withdraw cancels an attempt that is queued or was sent.
 type Withdraw struct{ Attempt AttemptID }
 
-// WakeAt asks for a Tick at or after At; it replaces an earlier wish.
+// WakeAt asks for a Tick at or after At. It replaces an earlier WakeAt.
 type WakeAt struct{ At time.Time }
 
-// Verdict tells the quarantine what an attempt showed about the fingerprint.
+// Verdict reports to the quarantine what an attempt showed about the request's
+// fingerprint.
 type Verdict struct {
 	Attempt AttemptID
 	Leaf    int
-	Crashed bool // false: the request ran to its end on the leaf
+	Crashed bool // the leaf crashed; false if it ran the request to its end
 	Solo    bool // the attempt ran alone
 }
 
-// Finish gives the answer; it comes once, and last.
+// Finish gives the answer. It is the last action of a query.
 type Finish struct{ Answer Answer }
 
 func (Offer) isAction()    {}
@@ -167,33 +175,34 @@
 func (Verdict) isAction()  {}
 func (Finish) isAction()   {}
 
-// Outcome is the truthful class of an answer.
+// Outcome is the class of an answer. It claims no more than is proved.
 type Outcome string
 
 // The outcomes.
 const (
 	Complete Outcome = "complete" // every part is covered at one version
 	Partial  Outcome = "partial"  // some parts are covered at one version
-	NotRun   Outcome = "not_run"  // it provably ran nowhere
-	Unknown  Outcome = "unknown"  // a non-idempotent request may have run
-	Failed   Outcome = "failed"   // it ran or may have run, and nothing is covered
+	NotRun   Outcome = "not_run"  // it is certain that no leaf ran it
+	Unknown  Outcome = "unknown"  // a non-idempotent request ran or may have run, and nothing is covered
+	Failed   Outcome = "failed"   // an idempotent request ran or may have run, and nothing is covered
 )
 
-// Reasons of a missing part, besides those of DeclineReason.
+// The reasons for which a part is missing, besides the values of DeclineReason.
 const (
-	MissingBroken       = "broken"        // the exchange broke after it was sent
-	MissingCrashed      = "crashed"       // the leaf broke with the request in a slot
+	MissingBroken       = "broken"        // the exchange with the leaf broke after Sent
+	MissingCrashed      = "crashed"       // the leaf crashed while the request had one of its slots
 	MissingBadReply     = "bad_reply"     // the reply stated a wrong version or wrong ranges
 	MissingDeadline     = "deadline"      // no reply by the deadline
-	MissingSettled      = "settled"       // enough was covered, and the rest was not waited for
-	MissingCancelled    = "cancelled"     // the caller went away
-	MissingVersionMoved = "version_moved" // the query went on to another version
-	MissingNoShard      = "no_shard"      // the configuration has no shard for it
-	// MissingNotGathered: another instance was asked for it and did not get it.
+	MissingSettled      = "settled"       // the least coverage was reached, and the query did not wait for the rest
+	MissingCancelled    = "cancelled"     // the caller cancelled the query
+	MissingVersionMoved = "version_moved" // the query moved to another version
+	MissingNoShard      = "no_shard"      // the view has no shard for the range
+	// MissingNotGathered means that the instance which gathered the part's group did not
+	// cover it.
 	MissingNotGathered = "not_gathered"
 )
 
-// Missing is a part without a reply and why.
+// Missing is a part that the answer does not cover, and the reason.
 type Missing struct {
 	Part   Part
 	Reason string
@@ -203,36 +212,37 @@
 type Result struct {
 	// Part is the first range that the reply covers.
 	Part Part
-	// MoreRanges lists further ranges of the same reply; nearly always empty.
+	// MoreRanges lists the further ranges of the reply; it is nearly always empty.
 	MoreRanges []keyrange.Range
 	Leaf       int
 	Body       []byte
-	// Attachment is that of the Reply.
+	// Attachment is that of the Reply or the Gathered.
 	Attachment any
 }
 
-// Answer is what the caller gets.
+// Answer is the result of a query.
 type Answer struct {
 	Outcome Outcome
 	Version uint64
 	Covered []Part
 	Missing []Missing
-	// Share is covered keys over all keys, each upstream weighing the same.
+	// Share is the mean over the upstreams of the fraction of keys that are covered.
 	Share      float64
 	Results    []Result
 	RetryAfter time.Duration
 	Reason     string
-	// Sent, Hedges, Retries and Ignored count attempts that reached a leaf,
-	// repetition, and replies that were late, repeated or crossed.
+	// Sent counts the attempts that were sent to a leaf, Hedges and Retries the repeated
+	// ones among them. Ignored counts the events that were dropped because they were
+	// late, repeated, invalid or of another attempt or leaf.
 	Sent, Hedges, Retries, Ignored int
-	// Groups counts those that other instances were to gather; what these sent is
-	// counted as sent where they reported them.
+	// Groups counts the groups that were sent to other instances. The attempts that these
+	// instances reported are included in Sent, Hedges and Retries.
 	Groups int
 	// VersionMoves counts changes of the pinned version.
 	VersionMoves int
-	// SettledAt is when the answer was due without its missing parts; zero when it
-	// was not settled.
+	// SettledAt is the time for which an answer without its missing parts was due; zero
+	// unless the reason is MissingSettled.
 	SettledAt time.Time
-	// Failure is the last failure that a leaf stated; nil when none did.
+	// Failure is the last failure that a leaf stated; nil if none did.
 	Failure any
 }
--- a/kernel/query/notrun_test.go
+++ b/kernel/query/notrun_test.go
@@ -10,9 +10,9 @@
 	"testing"
 )
 
-// TestOnlyDeriveGivesNotRun checks the source of the whole project: the value
-// NotRun may be compared with anywhere, and is produced in derive alone.
-func TestOnlyDeriveGivesNotRun(t *testing.T) {
+// TestOnlyDeriveOutcomeProducesNotRun checks the source of the whole project: other code
+// may compare an outcome with NotRun, but only deriveOutcome may produce the value.
+func TestOnlyDeriveOutcomeProducesNotRun(t *testing.T) {
 	files := 0
 	err := filepath.WalkDir("../..", func(path string, d fs.DirEntry, err error) error {
 		if err != nil || d.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
@@ -30,7 +30,8 @@
 	}
 }
 
-// TestNotRunCheckFindsFaults shows that the check can fail.
+// TestNotRunCheckFindsFaults checks that notRunFaults finds each way to produce NotRun
+// and no comparison.
 func TestNotRunCheckFindsFaults(t *testing.T) {
 	src := `package x
 func f(a query.Answer) query.Answer {
@@ -45,14 +46,15 @@
 		t.Fatalf("found %d faults, want 4", got)
 	}
 	inside := `package query
-func derive() Outcome { return NotRun }
+func deriveOutcome() Outcome { return NotRun }
 func other() Outcome { return NotRun }`
 	if got := len(notRunFaults(t, "x.go", inside, true)); got != 1 {
 		t.Fatalf("found %d faults, want 1", got)
 	}
 }
 
-// notRunFaults lists the uses of NotRun that may produce the value.
+// notRunFaults lists the places of a source file that may produce the value NotRun.
+// inQuery says that the file is of the query package.
 func notRunFaults(t *testing.T, path string, src any, inQuery bool) []string {
 	t.Helper()
 	fset := token.NewFileSet()
@@ -62,7 +64,7 @@
 	}
 	var faults []string
 	for _, decl := range file.Decls {
-		if fn, ok := decl.(*ast.FuncDecl); ok && inQuery && fn.Name.Name == "derive" && fn.Recv == nil {
+		if fn, ok := decl.(*ast.FuncDecl); ok && inQuery && fn.Name.Name == "deriveOutcome" && fn.Recv == nil {
 			continue
 		}
 		if gen, ok := decl.(*ast.GenDecl); ok && gen.Tok == token.CONST {
@@ -87,7 +89,7 @@
 	return faults
 }
 
-// notRunUses lists the uses below a node.
+// notRunUses lists the places below a node that may produce NotRun.
 func notRunUses(fset *token.FileSet, root ast.Node, inQuery bool) []string {
 	var faults []string
 	ast.Inspect(root, func(n ast.Node) bool {
@@ -100,34 +102,34 @@
 	return faults
 }
 
-// notRunUse reports a node that is the value NotRun of the query package, or
-// its text put where an outcome goes.
+// notRunUse reports the position of a node that is the value NotRun of the query package,
+// or that uses its text as an outcome.
 func notRunUse(fset *token.FileSet, n ast.Node, inQuery bool) []string {
-	at := func() []string { return []string{fset.Position(n.Pos()).String() + ": produces NotRun"} }
+	fault := func() []string { return []string{fset.Position(n.Pos()).String() + ": produces NotRun"} }
 	switch n := n.(type) {
 	case *ast.SelectorExpr:
 		if x, ok := n.X.(*ast.Ident); ok && x.Name == "query" && n.Sel.Name == "NotRun" {
-			return at()
+			return fault()
 		}
 	case *ast.Ident:
 		if inQuery && n.Name == "NotRun" {
-			return at()
+			return fault()
 		}
 	case *ast.AssignStmt:
 		for i, lhs := range n.Lhs {
 			if sel, ok := lhs.(*ast.SelectorExpr); ok && sel.Sel.Name == "Outcome" && i < len(n.Rhs) && isNotRunText(n.Rhs[i]) {
-				return at()
+				return fault()
 			}
 		}
 	case *ast.CallExpr:
 		if sel, ok := n.Fun.(*ast.SelectorExpr); ok && sel.Sel.Name == "Outcome" && len(n.Args) == 1 && isNotRunText(n.Args[0]) {
-			return at()
+			return fault()
 		}
 	}
 	return nil
 }
 
-// isNotRunText reports the string literal of the outcome.
+// isNotRunText reports whether an expression is the string literal of the outcome.
 func isNotRunText(e ast.Expr) bool {
 	lit, ok := e.(*ast.BasicLit)
 	return ok && lit.Value == `"not_run"`
--- a/kernel/query/outcome.go
+++ b/kernel/query/outcome.go
@@ -7,17 +7,16 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/keyrange"
 )
 
-// Without a queue's hint a caller is asked to come back after backoffBase and
-// up to backoffSpread more, by the request's seed.
+// Without a hint of the queue a caller is asked to retry after backoffBase plus a
+// pseudo-random part of backoffSpread, derived from the request's seed and start time.
 const (
 	backoffBase   = 250 * time.Millisecond
 	backoffSpread = 500 * time.Millisecond
 )
 
-// derive is the one place that decides an outcome. A request is "not run" only
-// if every attempt of it is proved not run: it was never sent, or the leaf
-// declined it.
-func derive(attempts []attempt, share float64, idempotent bool) Outcome {
+// deriveOutcome is the only function that decides an outcome. A request is "not run"
+// only if each of its attempts was never sent or was declined by the leaf.
+func deriveOutcome(attempts []attempt, share float64, idempotent bool) Outcome {
 	if share >= 1 {
 		return Complete
 	}
@@ -36,28 +35,29 @@
 	return NotRun
 }
 
-// NewRefusedAnswer is the answer to a request for which no machine was ever started.
+// NewRefusedAnswer returns the answer to a request for which no machine was started.
 func NewRefusedAnswer(reason DeclineReason, retryAfter time.Duration) Answer {
 	return Answer{
-		Outcome:    derive(nil, 0, false),
+		Outcome:    deriveOutcome(nil, 0, false),
 		Reason:     string(reason),
 		RetryAfter: retryAfter,
 	}
 }
 
-// finish withdraws what is live and gives the answer. The cause is the reason
-// of the parts that are still open.
+// finish withdraws all live attempts and gives the answer. cause is the reason of the
+// answer, and of the missing parts that were not given up.
 func (m *Machine) finish(cause string) {
 	m.withdrawAll()
 	m.finished = true
-	m.act(Finish{Answer: m.answer(cause)})
+	m.emit(Finish{Answer: m.buildAnswer(cause)})
 }
 
-// answer is drawn from the one version with the most coverage.
-func (m *Machine) answer(cause string) Answer {
+// buildAnswer builds the answer from the replies of the one version with the most
+// coverage.
+func (m *Machine) buildAnswer(cause string) Answer {
 	version := m.version
-	if t := m.tallies[m.best]; t != nil && !t.covered.Empty() {
-		version = m.best
+	if res := m.resultsByVersion[m.bestVersion]; res != nil && !res.covered.Empty() {
+		version = m.bestVersion
 	}
 	a := Answer{
 		Version:      version,
@@ -67,77 +67,79 @@
 		Retries:      m.count.retries,
 		Ignored:      m.count.ignored,
 		Groups:       m.count.groups,
-		VersionMoves: m.moves,
-		Failure:      m.failure,
+		VersionMoves: m.versionMoves,
+		Failure:      m.leafFailure,
 	}
 	if cause == MissingSettled {
-		a.SettledAt = m.settle
+		a.SettledAt = m.settleAt
 	}
 	if m.spaces != nil {
-		m.fill(&a, m.tally(version), cause)
+		m.fillAnswer(&a, m.resultsAt(version), cause)
 	}
-	a.Outcome = derive(m.attempts, a.Share, m.idempotent())
+	a.Outcome = deriveOutcome(m.attempts, a.Share, m.idempotent())
 	if a.Outcome != Complete {
-		a.RetryAfter = m.backoff(a.Outcome)
+		a.RetryAfter = m.retryDelay(a.Outcome)
 	}
 	return a
 }
 
-// fill writes coverage and results of one version into the answer.
-func (m *Machine) fill(a *Answer, t *tally, cause string) {
-	a.Share = t.covered.Share()
+// fillAnswer sets the coverage and the results of the answer from one version.
+func (m *Machine) fillAnswer(a *Answer, res *versionResults, cause string) {
+	a.Share = res.covered.Share()
 	for i := range m.spaces {
-		upstream := m.spaces[i].first
-		for _, r := range t.covered.Ranges(i) {
+		upstream := m.spaces[i].startUpstream
+		for _, r := range res.covered.Ranges(i) {
 			a.Covered = append(a.Covered, Part{Upstream: upstream, Range: r})
 		}
-		a.Missing = append(a.Missing, m.missing(i, t, cause)...)
+		a.Missing = append(a.Missing, m.missingRanges(i, res, cause)...)
 	}
-	for _, r := range t.results {
+	for _, r := range res.replies {
 		a.Results = append(a.Results, Result{
-			Part:       Part{Upstream: m.spaces[r.space].first, Range: r.ranges[0]},
+			Part:       Part{Upstream: m.spaces[r.space].startUpstream, Range: r.ranges[0]},
 			MoreRanges: r.ranges[1:],
 			Leaf:       r.leaf,
 			Body:       r.body,
-			Attachment: r.carried,
+			Attachment: r.attachment,
 		})
 	}
 }
 
-// missing lists what a version does not cover of a space, with the reasons.
-func (m *Machine) missing(space int, t *tally, cause string) []Missing {
-	gaps := t.covered.Missing(space, t.grids[space].Universe())
+// missingRanges lists the ranges of a space that a version does not cover, with the
+// reasons.
+func (m *Machine) missingRanges(space int, res *versionResults, cause string) []Missing {
+	gaps := res.covered.Missing(space, res.grids[space].Universe())
 	if len(gaps) == 0 {
 		return nil
 	}
-	l := missingList{upstream: m.spaces[space].first}
-	if t != m.current() {
+	l := missingList{upstream: m.spaces[space].startUpstream}
+	if res != m.currentResults() {
 		for _, g := range gaps {
 			l.add(g, MissingVersionMoved)
 		}
 		return l.out
 	}
-	asked := m.unsettled(space)
+	uncovered := m.uncoveredParts(space)
 	for _, g := range gaps {
-		for len(asked) > 0 && m.parts[asked[0]].need.From < g.To {
-			p := &m.parts[asked[0]]
-			if x := p.need.Intersect(g); !x.Empty() {
+		for len(uncovered) > 0 && m.parts[uncovered[0]].keys.From < g.To {
+			p := &m.parts[uncovered[0]]
+			if x := p.keys.Intersect(g); !x.Empty() {
 				l.add(keyrange.Range{From: g.From, To: x.From}, MissingNoShard)
-				l.add(x, p.why(cause))
+				l.add(x, p.missingReason(cause))
 				g.From = x.To
 			}
-			if p.need.To > g.To {
+			if p.keys.To > g.To {
 				break
 			}
-			asked = asked[1:]
+			uncovered = uncovered[1:]
 		}
 		l.add(g, MissingNoShard)
 	}
 	return l.out
 }
 
-// unsettled lists the parts of a space that are not covered, in key order.
-func (m *Machine) unsettled(space int) []int {
+// uncoveredParts lists the parts of a space that are neither covered nor replaced, by
+// first key.
+func (m *Machine) uncoveredParts(space int) []int {
 	var out []int
 	for i := range m.parts {
 		p := &m.parts[i]
@@ -145,25 +147,26 @@
 			out = append(out, i)
 		}
 	}
-	slices.SortFunc(out, func(a, b int) int { return compareFrom(m.parts[a].need, m.parts[b].need) })
+	slices.SortFunc(out, func(a, b int) int { return compareStart(m.parts[a].keys, m.parts[b].keys) })
 	return out
 }
 
-// why is the reason for which a part is missing.
-func (p *part) why(cause string) string {
+// missingReason returns the reason for which a part is missing.
+func (p *part) missingReason(cause string) string {
 	if p.state == partGivenUp {
 		return p.reason
 	}
 	return cause
 }
 
-// missingList joins touching ranges of one reason.
+// missingList is a list of missing ranges of one upstream. It joins adjacent ranges
+// with the same reason.
 type missingList struct {
 	upstream int
 	out      []Missing
 }
 
-// add appends a range with its reason.
+// add appends a range with its reason; an empty range is left out.
 func (l *missingList) add(r keyrange.Range, reason string) {
 	if r.Empty() {
 		return
@@ -175,15 +178,15 @@
 	l.out = append(l.out, Missing{Part: Part{Upstream: l.upstream, Range: r}, Reason: reason})
 }
 
-// backoff says when the caller may come back. A non-idempotent request that
-// may have run gets no such hint.
-func (m *Machine) backoff(outcome Outcome) time.Duration {
+// retryDelay returns the time after which the caller may retry. It is 0 for a
+// non-idempotent request that may have run, which must not be retried.
+func (m *Machine) retryDelay(outcome Outcome) time.Duration {
 	if outcome == Unknown {
 		return 0
 	}
 	if m.retryAfter > 0 {
 		return m.retryAfter
 	}
-	mix := m.cfg.Seed ^ uint64(m.cfg.Start.UnixNano())
-	return backoffBase + time.Duration(mix%uint64(backoffSpread))
+	jitter := m.cfg.Seed ^ uint64(m.cfg.Start.UnixNano())
+	return backoffBase + time.Duration(jitter%uint64(backoffSpread))
 }
--- a/kernel/query/part.go
+++ b/kernel/query/part.go
@@ -8,62 +8,61 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/view"
 )
 
-// These stand for the absence of an index.
+// Values of an index that refers to nothing.
 const (
 	noLeaf     = view.NoLeaf
 	noShard    = -1
 	noUpstream = view.NoUpstream
 )
 
-// partState is what becomes of a part.
+// partState is the state of a part.
 type partState uint8
 
 const (
-	partWaiting  partState = iota // held until another part has shown that the request is safe
-	partOpen                      // asked
-	partCovered                   // its keys are covered
-	partGivenUp                   // nothing more is tried, for a reason
-	partReplaced                  // its missing rest is asked as other parts
+	partWaiting  partState = iota // not offered yet, or held back while the gate is closed
+	partOpen                      // an attempt of it was offered
+	partCovered                   // accepted replies cover its keys
+	partGivenUp                   // not asked again, for the reason in part.reason
+	partReplaced                  // new parts ask for the keys that it still misses
 )
 
-// part is a range that is asked of one shard.
+// part is a key range that is asked of one shard.
 type part struct {
-	space   int
-	need    keyrange.Range
-	shard   int
-	state   partState
-	reason  string
-	live    liveAttempts
-	tried   []int // leaves
-	tries   int
-	hedged  bool
-	reached bool // an attempt of it arrived at a leaf
-	runs    int  // attempts that may have run
-	// anyLeaf lets a part that runs alone go to any leaf, after the one that
-	// the seed names could not take it.
-	anyLeaf bool
-	// lost is the share given up with the part; forVersion tells that another
-	// version could still give it.
-	lost       float64
-	forVersion bool
-	next       int // the next part of the cell plus one
+	space        int // index in Machine.spaces
+	keys         keyrange.Range
+	shard        int // index in the upstream's shards, or noShard
+	state        partState
+	reason       string
+	live         liveAttempts
+	tried        []int // leaves that were tried, as indexes in the current view
+	tries        int   // attempts offered, hedges not counted
+	hedged       bool  // a hedge of it was offered
+	reachedLeaf  bool  // an attempt of it was sent to a leaf
+	possibleRuns int   // attempts that may have run
+	// probeAnyLeaf allows a probe of the part on any leaf of its shard. It is set
+	// when the leaf that the seed selects could not take the probe.
+	probeAnyLeaf bool
+	// lostShare is the share of the key space that was given up with the part.
+	// lostToVersion is set if the part could be covered at another index version.
+	lostShare     float64
+	lostToVersion bool
+	nextInCell    int // index of the next part in the same cell, plus one; 0 for none
 }
 
-// liveAttempts are the attempts of a part whose end is awaited: one, and its
-// hedge.
+// liveAttempts holds the live attempts of a part: at most one and its hedge.
 type liveAttempts struct {
 	ids [2]AttemptID
 	n   int
 }
 
-// add appends an attempt.
+// add appends an attempt; it panics if there are two already.
 func (l *liveAttempts) add(id AttemptID) {
 	l.ids[l.n] = id
 	l.n++
 }
 
-// drop forgets an attempt.
-func (l *liveAttempts) drop(id AttemptID) {
+// remove deletes an attempt, if present.
+func (l *liveAttempts) remove(id AttemptID) {
 	for i := range l.n {
 		if l.ids[i] == id {
 			l.n--
@@ -73,61 +72,65 @@
 	}
 }
 
-// plan makes a part of each range that the pinned version does not cover yet.
-func (m *Machine) plan() {
+// planParts replaces all parts by one for each shard's range that is not covered
+// at the pinned version yet, and asks them. A non-idempotent request goes to the
+// first shard only.
+func (m *Machine) planParts() {
 	m.parts = m.parts[:0]
-	m.open = 0
-	m.given = 0
+	m.openParts = 0
+	m.givenUpShare = 0
 	m.grids = m.newGrids()
-	t := m.current()
-	t.lost = 0
+	res := m.currentResults()
+	res.lostShare = 0
 	for i := range m.spaces {
-		m.spaces[i].cells = make([]int, t.grids[i].Cells())
+		m.spaces[i].cellHeads = make([]int, res.grids[i].Cells())
 		shards := m.shards(i)
 		if !m.idempotent() && len(shards) > 1 {
 			shards = shards[:1]
 		}
 		for s := range shards {
-			if only := m.spaces[i].only; only != nil && !only.Contains(shards[s].Range) {
+			if limit := m.spaces[i].limit; limit != nil && !limit.Contains(shards[s].Range) {
 				continue
 			}
-			for _, r := range t.covered.Missing(i, shards[s].Range) {
-				m.addPart(part{space: i, need: r, shard: s})
+			for _, r := range res.covered.Missing(i, shards[s].Range) {
+				m.addPart(part{space: i, keys: r, shard: s})
 			}
 		}
 	}
-	m.askGroups()
-	m.askAll()
+	m.offerGroups()
+	m.askWaiting()
 }
 
-// shards returns the shards of a space in the current view; none when its
-// upstream is gone.
+// shards returns the shards of a space in the current view, or nil if the view has
+// no such upstream any more.
 func (m *Machine) shards(space int) []view.Shard {
-	u := m.spaces[space].now
+	u := m.spaces[space].currentUpstream
 	if u == noUpstream {
 		return nil
 	}
 	return m.view.Upstreams[u].Shards
 }
 
-// addPart files a part under the cells it touches, cut at their borders.
+// addPart cuts a part at the borders of the grid's cells and adds each piece as a
+// waiting part, in the list of its cell.
 func (m *Machine) addPart(p part) {
-	grid := m.current().grids[p.space]
-	first, end := grid.Span(p.need)
+	grid := m.currentResults().grids[p.space]
+	first, end := grid.Span(p.keys)
 	for c := first; c < end; c++ {
 		piece := p
-		piece.need = p.need.Intersect(grid.Cell(c))
+		piece.keys = p.keys.Intersect(grid.Cell(c))
 		piece.state = partWaiting
 		piece.live = liveAttempts{}
-		piece.next = m.spaces[p.space].cells[c]
+		piece.nextInCell = m.spaces[p.space].cellHeads[c]
 		m.parts = append(m.parts, piece)
-		m.spaces[p.space].cells[c] = len(m.parts)
-		m.open++
+		m.spaces[p.space].cellHeads[c] = len(m.parts)
+		m.openParts++
 	}
 }
 
-// offer puts an attempt of a part to the dispatch layer.
-func (m *Machine) offer(i int, a attempt) {
+// offerPart emits an Offer for a new attempt of a part. The caller sets the flags
+// of the attempt; offerPart sets its other fields.
+func (m *Machine) offerPart(i int, a attempt) {
 	p := &m.parts[i]
 	p.state = partOpen
 	a.view = m.view
@@ -141,12 +144,12 @@
 	if !a.hedge {
 		p.tries++
 	}
-	m.act(Offer{
+	m.emit(Offer{
 		Attempt:  id,
-		Part:     Part{Upstream: m.spaces[p.space].now, Range: p.need},
+		Part:     Part{Upstream: m.spaces[p.space].currentUpstream, Range: p.keys},
 		Shard:    p.shard,
 		Version:  a.version,
-		Avoid:    m.avoid(p, a.solo),
+		Avoid:    m.leavesToAvoid(p, a.solo),
 		Hedge:    a.hedge,
 		Retry:    a.retry,
 		Solo:     a.solo,
@@ -154,8 +157,8 @@
 	})
 }
 
-// leaves returns the leaves of the part's shard.
-func (m *Machine) leaves(p *part) []int {
+// leavesOf returns the leaves of a part's shard, as indexes in the current view.
+func (m *Machine) leavesOf(p *part) []int {
 	shards := m.shards(p.space)
 	if p.shard < 0 || p.shard >= len(shards) {
 		return nil
@@ -163,8 +166,8 @@
 	return shards[p.shard].Leaves
 }
 
-// lacks reports whether a leaf was last seen not to serve the pinned version.
-func (m *Machine) lacks(leaf int) bool {
+// lacksVersion reports whether a leaf was last seen without the pinned version.
+func (m *Machine) lacksVersion(leaf int) bool {
 	if m.version == 0 {
 		return false
 	}
@@ -172,18 +175,20 @@
 	return known && !serves
 }
 
-// avoid lists the leaves not to choose: those tried, and those that lack the
-// version unless no other is left: they may have it by now.
-func (m *Machine) avoid(p *part, solo bool) []int {
+// leavesToAvoid lists the leaves that dispatch must not choose for a part: those
+// already tried, and those that lack the pinned version. If all untried leaves lack
+// the version they stay eligible, since they may have loaded it in the meantime. A
+// probe avoids all leaves but the one that probeLeaf selects.
+func (m *Machine) leavesToAvoid(p *part, solo bool) []int {
 	out := slices.Clone(p.tried)
-	if solo && !p.anyLeaf {
+	if solo && !p.probeAnyLeaf {
 		return m.avoidAllBut(m.probeLeaf(p), p)
 	}
 	lacking, others := 0, 0
-	for _, leaf := range m.leaves(p) {
+	for _, leaf := range m.leavesOf(p) {
 		switch {
 		case slices.Contains(p.tried, leaf):
-		case m.lacks(leaf):
+		case m.lacksVersion(leaf):
 			lacking++
 		default:
 			others++
@@ -192,17 +197,18 @@
 	if lacking == 0 || others == 0 {
 		return out
 	}
-	for _, leaf := range m.leaves(p) {
-		if m.lacks(leaf) && !slices.Contains(out, leaf) {
+	for _, leaf := range m.leavesOf(p) {
+		if m.lacksVersion(leaf) && !slices.Contains(out, leaf) {
 			out = append(out, leaf)
 		}
 	}
 	return out
 }
 
-// hasOther reports whether the shard has a leaf that may still be tried.
-func (m *Machine) hasOther(p *part) bool {
-	for _, leaf := range m.leaves(p) {
+// hasUntriedLeaf reports whether the part's shard has a leaf that was not tried, is
+// not leaving and may still serve the pinned version.
+func (m *Machine) hasUntriedLeaf(p *part) bool {
+	for _, leaf := range m.leavesOf(p) {
 		passed := m.version != 0 && m.cfg.Versions.Passed(leaf, m.version)
 		if !passed && !m.view.Leaves[leaf].Leaving && !slices.Contains(p.tried, leaf) {
 			return true
@@ -211,36 +217,37 @@
 	return false
 }
 
-// giveUp settles a part without its data.
-func (m *Machine) giveUp(i int, reason string) {
+// giveUpPart stops asking for a part and records the reason and the lost share.
+func (m *Machine) giveUpPart(i int, reason string) {
 	p := &m.parts[i]
 	p.state = partGivenUp
 	p.reason = reason
-	m.open--
-	if m.reason == "" {
-		m.reason = reason
+	m.openParts--
+	if m.firstReason == "" {
+		m.firstReason = reason
 	}
-	t := m.current()
-	for _, r := range t.covered.Missing(p.space, p.need) {
-		p.lost += t.covered.Weight(p.space, r)
+	res := m.currentResults()
+	for _, r := range res.covered.Missing(p.space, p.keys) {
+		p.lostShare += res.covered.Weight(p.space, r)
 	}
-	m.given += p.lost
-	p.forVersion = reason == string(ReasonWrongVersion) || slices.ContainsFunc(m.leaves(p), m.lacks)
-	if p.forVersion {
-		t.lost += p.lost
+	m.givenUpShare += p.lostShare
+	p.lostToVersion = reason == string(ReasonWrongVersion) || slices.ContainsFunc(m.leavesOf(p), m.lacksVersion)
+	if p.lostToVersion {
+		res.lostShare += p.lostShare
 	}
 }
 
-// cover settles a part whose keys are covered.
-func (m *Machine) cover(i int) {
+// markCovered records that the keys of a part are covered, also if the part was
+// given up before.
+func (m *Machine) markCovered(i int) {
 	p := &m.parts[i]
 	switch p.state {
 	case partOpen, partWaiting:
-		m.open--
+		m.openParts--
 	case partGivenUp:
-		m.given -= p.lost
-		if p.forVersion {
-			m.current().lost -= p.lost
+		m.givenUpShare -= p.lostShare
+		if p.lostToVersion {
+			m.currentResults().lostShare -= p.lostShare
 		}
 	default:
 		return
@@ -248,27 +255,27 @@
 	p.state = partCovered
 }
 
-// coverAt settles a part and takes its other attempts back.
-func (m *Machine) coverAt(i int, now time.Time) {
-	m.cover(i)
+// coverAndWithdraw marks a part as covered and withdraws its live attempts.
+func (m *Machine) coverAndWithdraw(i int, now time.Time) {
+	m.markCovered(i)
 	m.withdrawPart(i, now)
 }
 
-// withdrawPart takes back all live attempts of a part.
+// withdrawPart withdraws all live attempts of a part.
 func (m *Machine) withdrawPart(i int, now time.Time) {
 	for m.parts[i].live.n > 0 {
 		id := m.parts[i].live.ids[0]
-		if m.lookup(id).group != nil {
-			m.leave(id, i, now)
+		if m.findAttempt(id).group != nil {
+			m.splitGroup(id, i, now)
 			continue
 		}
-		m.withdraw(id)
+		m.withdrawAttempt(id)
 	}
 }
 
-// withdrawAll takes back all live attempts.
+// withdrawAll withdraws all live attempts of the query.
 func (m *Machine) withdrawAll() {
 	for i := range m.attempts {
-		m.withdraw(AttemptID(i + 1))
+		m.withdrawAttempt(AttemptID(i + 1))
 	}
 }
--- a/kernel/query/reply.go
+++ b/kernel/query/reply.go
@@ -7,29 +7,30 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/keyrange"
 )
 
-// reply takes in a reply of a live attempt from the leaf that it was sent to.
-// Any other reply is late, repeated or crossed: it is counted and dropped.
-func (m *Machine) reply(ev Reply, now time.Time) {
-	p := m.lookup(ev.Attempt)
-	if p == nil || p.group != nil || p.state != stateSent || p.leaf != ev.Leaf {
+// handleReply accepts the reply of a live attempt from the leaf that it was sent to.
+// Any other reply is late, repeated or of another attempt or leaf: it is counted as
+// ignored and dropped.
+func (m *Machine) handleReply(ev Reply, now time.Time) {
+	found := m.findAttempt(ev.Attempt)
+	if found == nil || found.group != nil || found.state != stateSent || found.leaf != ev.Leaf {
 		m.count.ignored++
 		return
 	}
-	m.end(ev.Attempt, stateReplied)
-	a := *p
-	m.slowest = max(m.slowest, now.Sub(m.cfg.Start)-a.sentAt)
-	m.ranToEnd(ev.Attempt, a)
-	if !m.valid(a, ev) {
+	m.endAttempt(ev.Attempt, stateReplied)
+	a := *found
+	m.slowestReply = max(m.slowestReply, now.Sub(m.cfg.Start)-a.sentAt)
+	m.recordCompletedRun(ev.Attempt, a)
+	if !m.isValidReply(a, ev) {
 		m.count.ignored++
-		m.retryPart(a.part, failure{reason: MissingBadReply, ran: true, costs: true}, now)
+		m.retryPart(a.part, failure{reason: MissingBadReply, mayHaveRun: true, spendsRetry: true}, now)
 		return
 	}
-	m.accept(a, ev, now)
+	m.acceptReply(a, ev, now)
 }
 
-// valid reports whether a reply states the version that was asked, and ranges
-// that are disjoint, within the universe and of the part asked.
-func (m *Machine) valid(a attempt, ev Reply) bool {
+// isValidReply reports whether a reply states the version that was asked for, and
+// non-empty disjoint ranges of the key space that overlap the part.
+func (m *Machine) isValidReply(a attempt, ev Reply) bool {
 	if ev.Version == 0 || (a.version != 0 && a.version != ev.Version) {
 		return false
 	}
@@ -37,7 +38,7 @@
 	universe := m.grids[p.space].Universe()
 	if len(ev.Ranges) == 1 {
 		r := ev.Ranges[0]
-		return universe.Contains(r) && r.Overlaps(p.need)
+		return universe.Contains(r) && r.Overlaps(p.keys)
 	}
 	var set keyrange.Set
 	for _, r := range ev.Ranges {
@@ -46,51 +47,54 @@
 		}
 		set.Add(r)
 	}
-	return set.Overlaps(p.need)
+	return set.Overlaps(p.keys)
 }
 
-// accept keeps a valid reply under its version and settles what it covers.
-func (m *Machine) accept(a attempt, ev Reply, now time.Time) {
+// acceptReply stores a valid reply under its version and updates the parts that it
+// covers.
+func (m *Machine) acceptReply(a attempt, ev Reply, now time.Time) {
 	space := m.parts[a.part].space
 	if m.version == 0 {
-		m.pinFirst(ev.Version)
+		m.pinFirstVersion(ev.Version)
 	}
 	ranges := ev.Ranges
 	if len(ranges) > 1 {
 		set := keyrange.NewSet(ranges...)
 		ranges = set.Ranges()
 	}
-	r := stored{space: space, ranges: ranges, leaf: ev.Leaf, body: ev.Body, carried: ev.Attachment}
-	if !m.tally(ev.Version).add(r) {
+	r := acceptedReply{space: space, ranges: ranges, leaf: ev.Leaf, body: ev.Body, attachment: ev.Attachment}
+	if !m.resultsAt(ev.Version).addReply(r) {
 		m.count.ignored++
-		m.askRest(a.part, m.here(&a, ev.Leaf), whole(m.parts[a.part]), now)
+		m.askMissing(a.part, m.currentLeaf(&a, ev.Leaf), wholeRange(m.parts[a.part]), now)
 		return
 	}
-	m.score(ev.Version)
-	m.checkSettle(now)
+	m.updateBestVersion(ev.Version)
+	m.scheduleSettle(now)
 	if ev.Version != m.version {
-		// The attempt asked for any version: the leaf may have the pinned one too.
-		m.askRest(a.part, m.here(&a, ev.Leaf), whole(m.parts[a.part]), now)
+		// The attempt was offered before a version was pinned, and the leaf chose
+		// another one. The leaf may serve the pinned version too, so it is not
+		// avoided.
+		m.askMissing(a.part, m.currentLeaf(&a, ev.Leaf), wholeRange(m.parts[a.part]), now)
 		return
 	}
-	for _, i := range m.partsAt(space, r.ranges) {
-		m.settlePart(i, a.part, now)
+	for _, i := range m.partsTouching(space, r.ranges) {
+		m.updatePart(i, a.part, now)
 	}
 }
 
-// pinFirst pins the version of the first reply, when none was known before.
-func (m *Machine) pinFirst(version uint64) {
+// pinFirstVersion pins the version of the first reply, if none was pinned before.
+func (m *Machine) pinFirstVersion(version uint64) {
 	m.version = version
-	m.tally(version)
+	m.resultsAt(version)
 }
 
-// partsAt lists the parts of the cells that the ranges touch.
-func (m *Machine) partsAt(space int, ranges []keyrange.Range) []int {
+// partsTouching lists the parts in all cells that the ranges overlap.
+func (m *Machine) partsTouching(space int, ranges []keyrange.Range) []int {
 	var out []int
 	for _, r := range ranges {
-		first, end := m.current().grids[space].Span(r)
+		first, end := m.currentResults().grids[space].Span(r)
 		for c := first; c < end; c++ {
-			for i := m.spaces[space].cells[c] - 1; i >= 0; i = m.parts[i].next - 1 {
+			for i := m.spaces[space].cellHeads[c] - 1; i >= 0; i = m.parts[i].nextInCell - 1 {
 				out = append(out, i)
 			}
 		}
@@ -102,60 +106,66 @@
 	return out
 }
 
-// settlePart looks at a part again after a reply has covered keys near it.
-func (m *Machine) settlePart(i, replied int, now time.Time) {
+// updatePart updates a part after a reply of the part with the index replied: a
+// part without missing keys is covered, and the rest of a partly covered one is
+// asked again.
+func (m *Machine) updatePart(i, replied int, now time.Time) {
 	p := &m.parts[i]
-	missing := m.current().covered.Missing(p.space, p.need)
+	missing := m.currentResults().covered.Missing(p.space, p.keys)
 	switch {
 	case len(missing) == 0:
-		m.coverAt(i, now)
+		m.coverAndWithdraw(i, now)
 	case p.state != partOpen && p.state != partWaiting:
 	case i == replied && p.live.n > 0:
-		// A hedge is still running; it may bring the rest.
+		// A hedge is still live; its reply may cover the rest.
 	case i == replied:
-		m.askRest(i, noLeaf, nil, now)
-	case missing[0] != p.need:
+		m.askMissing(i, noLeaf, nil, now)
+	case missing[0] != p.keys:
 		p.tried = nil
-		m.askRest(i, noLeaf, nil, now)
+		m.askMissing(i, noLeaf, nil, now)
 	}
 }
 
-// whole is the range of a part, as one that the leaf asked does hold.
-func whole(p part) []keyrange.Range { return []keyrange.Range{p.need} }
+// wholeRange returns the whole range of a part, as the held ranges for askMissing.
+func wholeRange(p part) []keyrange.Range { return []keyrange.Range{p.keys} }
 
-// askRest asks what is missing of a part again. A non-idempotent request that
-// ran is not asked again.
-func (m *Machine) askRest(i, leaf int, held []keyrange.Range, now time.Time) {
+// askMissing withdraws the attempts of a part and asks for its missing keys again,
+// see replanPart. A non-idempotent request is not repeated after it ran; its part is
+// given up.
+func (m *Machine) askMissing(i, leaf int, held []keyrange.Range, now time.Time) {
 	if !m.idempotent() {
-		m.giveUp(i, MissingBadReply)
+		m.giveUpPart(i, MissingBadReply)
 		return
 	}
 	m.withdrawPart(i, now)
-	m.replan(i, leaf, held, now)
+	m.replanPart(i, leaf, held, now)
 }
 
-// checkSettle starts the wait for the rest once enough is covered.
-func (m *Machine) checkSettle(now time.Time) {
+// scheduleSettle sets the time to answer without the missing parts, once the least
+// coverage of the service is reached.
+func (m *Machine) scheduleSettle(now time.Time) {
 	c := m.cfg.Service.Config
-	if (c.Settle <= 0 && c.Objective <= 0) || !m.settle.IsZero() {
+	if (c.Settle <= 0 && c.Objective <= 0) || !m.settleAt.IsZero() {
 		return
 	}
-	if m.share(m.best) >= c.LeastCoverage-shareTolerance {
-		m.settle = m.settleTime(now)
+	if m.coveredShare(m.bestVersion) >= c.LeastCoverage-shareTolerance {
+		m.settleAt = m.settleTime(now)
 	}
 }
 
-// settleShare is the share of the latency objective after which a useful answer
-// is not held back for its missing parts, while nothing is known of the way back.
-const settleShare = 0.8
+// defaultSettleShare is the fraction of the latency objective after which an answer
+// with the least coverage no longer waits for its missing parts. It applies until the
+// runtime has measured how long an answer takes to reach the caller (SettleMargin).
+const defaultSettleShare = 0.8
 
-// settleTime is when an answer that is useful now goes out without the rest.
+// settleTime returns the time at which an answer that has the least coverage at now
+// is given without its missing parts.
 func (m *Machine) settleTime(now time.Time) time.Time {
 	c := m.cfg.Service.Config
 	if c.Objective <= 0 {
 		return now.Add(c.Settle)
 	}
-	at := m.cfg.Start.Add(time.Duration(settleShare * float64(c.Objective)))
+	at := m.cfg.Start.Add(time.Duration(defaultSettleShare * float64(c.Objective)))
 	if m.cfg.SettleMargin > 0 {
 		at = m.cfg.Start.Add(c.Objective - m.cfg.SettleMargin)
 	}
--- a/kernel/query/retry.go
+++ b/kernel/query/retry.go
@@ -4,169 +4,176 @@
 	"time"
 )
 
-// failure is why an attempt of a part brought nothing.
+// failure says why an attempt of a part gave no usable reply.
 type failure struct {
-	reason  string
-	ran     bool // it may have run on a leaf
-	costs   bool // a repetition takes from the retry budget
-	crashed bool // the leaf broke; the repetition runs alone
+	reason      string
+	mayHaveRun  bool // a leaf may have run the attempt
+	spendsRetry bool // a retry takes a token of the retry budget
+	crashed     bool // the leaf crashed; the retry runs alone
 }
 
-// declined handles a leaf's word that it did not run the attempt. A retry is
-// safe for any request: the leaf has said that it holds no work of it.
-func (m *Machine) declined(ev Declined, now time.Time) {
-	p := m.lookup(ev.Attempt)
-	if p == nil || (p.state != stateQueued && p.leaf != ev.Leaf) {
+// handleDeclined handles a leaf's statement that it did not run the attempt. A retry
+// is safe then for any request, also for a non-idempotent one.
+func (m *Machine) handleDeclined(ev Declined, now time.Time) {
+	found := m.findAttempt(ev.Attempt)
+	if found == nil || (found.state != stateQueued && found.leaf != ev.Leaf) {
 		m.count.ignored++
 		return
 	}
-	if p.state == stateAbandoned {
-		m.setState(p, stateDeclined)
+	if found.state == stateAbandoned {
+		m.setAttemptState(found, stateDeclined)
 		return
 	}
-	if p.state == stateQueued {
-		m.noteTried(p, ev.Leaf)
+	if found.state == stateQueued {
+		m.recordTried(found, ev.Leaf)
 	} else {
-		m.parts[p.part].runs--
+		m.parts[found.part].possibleRuns--
 	}
-	a := m.end(ev.Attempt, stateDeclined)
+	a := m.endAttempt(ev.Attempt, stateDeclined)
 	if a == nil {
 		m.count.ignored++
 		return
 	}
 	if ev.Reason == ReasonWrongRange && m.idempotent() && len(ev.Ranges) > 0 {
-		if m.idle(a.part) {
-			m.replan(a.part, m.here(a, ev.Leaf), ev.Ranges, now)
+		if m.isIdle(a.part) {
+			m.replanPart(a.part, m.currentLeaf(a, ev.Leaf), ev.Ranges, now)
 		}
 		return
 	}
 	costs := ev.Reason == ReasonOverloaded || ev.Reason == ReasonDeadline
-	m.retryPart(a.part, failure{reason: string(ev.Reason), costs: costs}, now)
+	m.retryPart(a.part, failure{reason: string(ev.Reason), spendsRetry: costs}, now)
 }
 
-// notSent handles the word that an attempt never reached a leaf. After a
-// failed dial another leaf is tried, at no cost to any leaf; what the queue
-// refused is refused for all leaves of the shard.
-func (m *Machine) notSent(ev NotSent, now time.Time) {
-	p := m.lookup(ev.Attempt)
-	if p != nil && p.state == stateSent {
-		// Its bytes may have left before: it is no proof any more.
-		m.broken(Broken{Attempt: ev.Attempt, Leaf: p.leaf}, now)
-		return
-	}
-	a := m.end(ev.Attempt, stateNotSent)
+// handleNotSent handles an attempt that never reached a leaf. After a failed dial
+// another leaf is tried, without a token of the retry budget since no leaf did any
+// work. A refusal of the queue holds for all leaves of the shard, so the part is
+// given up; only a probe, which was offered to a single leaf, is offered once more
+// to any leaf of its shard.
+func (m *Machine) handleNotSent(ev NotSent, now time.Time) {
+	found := m.findAttempt(ev.Attempt)
+	if found != nil && found.state == stateSent {
+		// After Sent the bytes may have reached the leaf, so the event does not
+		// prove that the attempt did not run.
+		m.handleBroken(Broken{Attempt: ev.Attempt, Leaf: found.leaf}, now)
+		return
+	}
+	a := m.endAttempt(ev.Attempt, stateNotSent)
 	if a == nil {
 		return
 	}
 	if a.group != nil {
-		m.groupNotSent(*a)
+		m.askGroupLocally(*a)
 		return
 	}
 	m.retryAfter = max(m.retryAfter, ev.RetryAfter)
 	if ev.Reason == ReasonDialFailed {
-		m.noteTried(a, ev.Leaf)
+		m.recordTried(a, ev.Leaf)
 		m.retryPart(a.part, failure{reason: string(ev.Reason)}, now)
 		return
 	}
-	if !m.idle(a.part) {
+	if !m.isIdle(a.part) {
 		return
 	}
-	if part := &m.parts[a.part]; a.solo && !part.anyLeaf && m.hasOther(part) {
-		part.anyLeaf = true
+	if part := &m.parts[a.part]; a.solo && !part.probeAnyLeaf && m.hasUntriedLeaf(part) {
+		part.probeAnyLeaf = true
 		part.tries--
 		m.gate.cursor = 0
-		m.ask(a.part, attempt{retry: a.retry, solo: true})
+		m.askPart(a.part, attempt{retry: a.retry, solo: true})
 		return
 	}
-	m.giveUp(a.part, string(ev.Reason))
+	m.giveUpPart(a.part, string(ev.Reason))
 }
 
-// broken handles the end of an attempt that may have run.
-func (m *Machine) broken(ev Broken, now time.Time) {
-	p := m.lookup(ev.Attempt)
-	if p == nil || !p.state.live() || (p.state == stateSent && p.leaf != ev.Leaf) {
+// handleBroken handles an attempt that ended without a reply and may have run.
+func (m *Machine) handleBroken(ev Broken, now time.Time) {
+	found := m.findAttempt(ev.Attempt)
+	if found == nil || !found.state.live() || (found.state == stateSent && found.leaf != ev.Leaf) {
 		m.count.ignored++
 		return
 	}
-	m.end(ev.Attempt, stateBroken)
-	a := *p
+	m.endAttempt(ev.Attempt, stateBroken)
+	a := *found
 	if a.group != nil {
-		m.groupLost(a, now)
+		m.retryLostGroup(a, now)
 		return
 	}
 	if ev.Failure != nil {
-		m.failure = ev.Failure
+		m.leafFailure = ev.Failure
 	}
 	if ev.Crash {
-		m.crashed(ev, a, now)
+		m.handleCrash(ev, a, now)
 		return
 	}
-	m.retryPart(a.part, failure{reason: MissingBroken, ran: true, costs: true}, now)
+	m.retryPart(a.part, failure{reason: MissingBroken, mayHaveRun: true, spendsRetry: true}, now)
 }
 
-// idle reports whether a part is unsettled and has no live attempt.
-func (m *Machine) idle(i int) bool {
+// isIdle reports whether a part is open or waiting and has no live attempt.
+func (m *Machine) isIdle(i int) bool {
 	p := &m.parts[i]
 	return (p.state == partOpen || p.state == partWaiting) && p.live.n == 0
 }
 
-// retryPart asks a part again, elsewhere, or gives it up.
+// retryPart asks an idle part again on another leaf, or gives it up.
 func (m *Machine) retryPart(i int, f failure, now time.Time) {
-	if !m.idle(i) {
+	if !m.isIdle(i) {
 		return
 	}
 	if !m.mayRetry(&m.parts[i], f, now) {
-		m.giveUp(i, f.reason)
+		m.giveUpPart(i, f.reason)
 		return
 	}
-	m.ask(i, attempt{retry: true, solo: f.crashed})
+	m.askPart(i, attempt{retry: true, solo: f.crashed})
 }
 
-// mayRetry reports whether a part may be asked again. A request that may have
-// run is repeated only if it is idempotent; what cost a leaf work is repeated
-// only within the budget. A crash is repeated once per query, by the gate.
+// mayRetry reports whether a part may be asked again, and takes the budget tokens
+// of the retry if so. A request that may have run is retried only if it is
+// idempotent. If the failed attempt cost a leaf work, the retry takes a token of the
+// retry budget; after a crash the gate allows one retry per query instead.
 func (m *Machine) mayRetry(p *part, f failure, now time.Time) bool {
-	if f.ran && !m.idempotent() {
+	if f.mayHaveRun && !m.idempotent() {
 		return false
 	}
-	if p.tries >= maxTries || !now.Before(m.cfg.Deadline) || !m.hasOther(p) {
+	if p.tries >= maxPartTries || !now.Before(m.cfg.Deadline) || !m.hasUntriedLeaf(p) {
 		return false
 	}
-	if !m.mayRunAgain(p) || (f.costs && !m.cfg.Budget.TakeRetry(now)) {
+	if !m.mayRunAgain(p) || (f.spendsRetry && !m.cfg.Budget.TakeRetry(now)) {
 		return false
 	}
-	return m.mayArrive(p, now)
+	return m.takeShardRepeat(p, now)
 }
 
-// mayRunAgain reports whether one more leaf of the shard may run the request.
+// mayRunAgain reports whether the route's limit of attempts allows one more leaf of
+// the shard to run the request.
 func (m *Machine) mayRunAgain(p *part) bool {
-	most := m.cfg.Service.Config.Attempts
-	return most <= 0 || p.runs < most
+	limit := m.cfg.Service.Config.Attempts
+	return limit <= 0 || p.possibleRuns < limit
 }
 
-// mayArrive reports whether one more attempt of the part may go to a leaf. The
-// first arrival at the shard is free, also after dials that failed.
-func (m *Machine) mayArrive(p *part, now time.Time) bool {
-	if m.cfg.ShardBudget == nil || !p.reached {
+// takeShardRepeat takes a token of the shard's budget for one more attempt of a part
+// and reports whether there was one. The first attempt that reaches the shard needs
+// none, also after failed dials.
+func (m *Machine) takeShardRepeat(p *part, now time.Time) bool {
+	if m.cfg.ShardBudget == nil || !p.reachedLeaf {
 		return true
 	}
-	return m.cfg.ShardBudget.TakeRepeat(m.spaces[p.space].now, p.shard, now)
+	return m.cfg.ShardBudget.TakeRepeat(m.spaces[p.space].currentUpstream, p.shard, now)
 }
 
-// ask offers a part, or holds it while the gate is closed.
-func (m *Machine) ask(i int, a attempt) {
+// askPart offers an attempt of a part, or lets the part wait while the gate is
+// closed.
+func (m *Machine) askPart(i int, a attempt) {
 	if m.gate.open {
-		m.offer(i, a)
+		m.offerPart(i, a)
 		return
 	}
 	m.parts[i].state = partWaiting
 }
 
-// askAll asks all waiting parts.
-func (m *Machine) askAll() {
+// askWaiting calls askPart for all waiting parts.
+func (m *Machine) askWaiting() {
 	for i := range m.parts {
 		if m.parts[i].state == partWaiting {
-			m.ask(i, attempt{retry: m.parts[i].tries > 0})
+			m.askPart(i, attempt{retry: m.parts[i].tries > 0})
 		}
 	}
 }
--- a/kernel/query/version.go
+++ b/kernel/query/version.go
@@ -7,71 +7,71 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/keyrange"
 )
 
-// shareTolerance is the difference of two shares that counts as none.
+// shareTolerance is the rounding error up to which two shares count as equal.
 const shareTolerance = 1e-9
 
-// tally is what was received at one index version. Replies of different
-// versions never meet in one tally.
-type tally struct {
+// versionResults holds the accepted replies of one index version. Replies of different
+// versions are never combined in one answer.
+type versionResults struct {
 	grids   []*coverage.Grid
 	covered *coverage.Map
-	results []stored
-	// lost is the share that was given up because leaves lack the version.
-	lost float64
+	replies []acceptedReply
+	// lostShare is the share that was given up because leaves lack the version.
+	lostShare float64
 }
 
-// stored is an accepted reply.
-type stored struct {
-	space   int
-	ranges  []keyrange.Range
-	leaf    int
-	body    []byte
-	carried any
+// acceptedReply is a valid reply; a Gathered is stored as one too, with noLeaf.
+type acceptedReply struct {
+	space      int // index in Machine.spaces
+	ranges     []keyrange.Range
+	leaf       int
+	body       []byte
+	attachment any
 }
 
-// tally returns what was received at a version.
-func (m *Machine) tally(version uint64) *tally {
-	t := m.tallies[version]
-	if t == nil {
-		t = &tally{grids: m.grids, covered: coverage.New(m.grids), results: make([]stored, 0, len(m.parts))}
-		m.tallies[version] = t
+// resultsAt returns the results at a version; it creates them if there are none.
+func (m *Machine) resultsAt(version uint64) *versionResults {
+	res := m.resultsByVersion[version]
+	if res == nil {
+		res = &versionResults{grids: m.grids, covered: coverage.New(m.grids), replies: make([]acceptedReply, 0, len(m.parts))}
+		m.resultsByVersion[version] = res
 	}
-	return t
+	return res
 }
 
-// current is the tally of the pinned version.
-func (m *Machine) current() *tally { return m.tally(m.version) }
+// currentResults returns the results at the pinned version.
+func (m *Machine) currentResults() *versionResults { return m.resultsAt(m.version) }
 
-// add takes a reply in, unless some of it is held already. A reply that holds
-// all keys of the ones it overlaps takes their place.
-func (t *tally) add(r stored) bool {
-	if t.overlaps(r) && !t.replace(r) {
+// addReply stores a reply and reports whether it did. A reply that overlaps stored
+// ones replaces them if it holds all of their keys, and is rejected otherwise.
+func (res *versionResults) addReply(r acceptedReply) bool {
+	if res.overlaps(r) && !res.replaceOverlapped(r) {
 		return false
 	}
 	for _, x := range r.ranges {
-		t.covered.Add(r.space, x)
+		res.covered.Add(r.space, x)
 	}
-	t.results = append(t.results, r)
+	res.replies = append(res.replies, r)
 	return true
 }
 
-// overlaps reports whether any key of the reply is held.
-func (t *tally) overlaps(r stored) bool {
+// overlaps reports whether any key of the reply is covered already.
+func (res *versionResults) overlaps(r acceptedReply) bool {
 	for _, x := range r.ranges {
-		if t.covered.Overlaps(r.space, x) {
+		if res.covered.Overlaps(r.space, x) {
 			return true
 		}
 	}
 	return false
 }
 
-// replace drops the replies that r overlaps if it holds every key of theirs,
-// so that no key is lost and none is there twice.
-func (t *tally) replace(r stored) bool {
+// replaceOverlapped removes the replies that r overlaps and reports true, if r holds
+// every key of theirs: no key is lost then, and none is stored twice.
+func (res *versionResults) replaceOverlapped(r acceptedReply) bool {
 	set := keyrange.NewSet(r.ranges...)
-	var kept []stored
-	for _, old := range t.results {
-		if old.space != r.space || !old.touches(&set) {
+	var kept []acceptedReply
+	for _, old := range res.replies {
+		if old.space != r.space || !old.overlapsSet(&set) {
 			kept = append(kept, old)
 			continue
 		}
@@ -81,12 +81,12 @@
 			}
 		}
 	}
-	t.results = kept
+	res.replies = kept
 	return true
 }
 
-// touches reports whether any range of the reply shares a key with the set.
-func (r *stored) touches(set *keyrange.Set) bool {
+// overlapsSet reports whether any range of the reply shares a key with the set.
+func (r *acceptedReply) overlapsSet(set *keyrange.Set) bool {
 	for _, x := range r.ranges {
 		if set.Overlaps(x) {
 			return true
@@ -95,31 +95,33 @@
 	return false
 }
 
-// score notes the version with the most coverage, the newest of equals.
-func (m *Machine) score(version uint64) {
-	share := m.share(version)
-	best := m.share(m.best)
-	if share > best || (share == best && version > m.best) {
-		m.best = version
+// updateBestVersion makes a version the best one if it has more coverage than the best
+// so far, or as much and is newer.
+func (m *Machine) updateBestVersion(version uint64) {
+	share := m.coveredShare(version)
+	best := m.coveredShare(m.bestVersion)
+	if share > best || (share == best && version > m.bestVersion) {
+		m.bestVersion = version
 	}
 }
 
-// share is what is covered at a version.
-func (m *Machine) share(version uint64) float64 {
-	if t := m.tallies[version]; t != nil {
-		return t.covered.Share()
+// coveredShare returns the share of the query's key space that is covered at a version.
+func (m *Machine) coveredShare(version uint64) float64 {
+	if res := m.resultsByVersion[version]; res != nil {
+		return res.covered.Share()
 	}
 	return 0
 }
 
-// tryMove pins another version, as a whole, when leaves lack the present one,
-// another promises more of the service, and the time left allows.
-func (m *Machine) tryMove(now time.Time) bool {
-	lost := m.current().lost
-	if m.version == 0 || lost <= shareTolerance || m.moves >= maxMoves {
+// tryMoveVersion moves the whole query to another version if leaves lack the pinned
+// one, the other can cover more of the service, and the time left exceeds the slowest
+// reply so far. It reports whether it did.
+func (m *Machine) tryMoveVersion(now time.Time) bool {
+	lost := m.currentResults().lostShare
+	if m.version == 0 || lost <= shareTolerance || m.versionMoves >= maxVersionMoves {
 		return false
 	}
-	if !m.idempotent() || m.cfg.Deadline.Sub(now) < m.slowest {
+	if !m.idempotent() || m.cfg.Deadline.Sub(now) < m.slowestReply {
 		return false
 	}
 	name := m.cfg.Service.Config.Name
@@ -127,27 +129,28 @@
 	if next == m.version {
 		next = m.cfg.Versions.Next(name, m.version)
 	}
-	if next == 0 || m.promise(next) <= 1-lost+shareTolerance {
+	if next == 0 || m.attainableShare(next) <= 1-lost+shareTolerance {
 		return false
 	}
-	m.move(next)
+	m.moveToVersion(next)
 	return true
 }
 
-// promise is the share that a version may still give.
-func (m *Machine) promise(version uint64) float64 {
+// attainableShare returns the largest share that a version can cover, by what the
+// leaves were last seen to serve and what was given up at the version.
+func (m *Machine) attainableShare(version uint64) float64 {
 	share := m.cfg.Versions.Share(m.cfg.Service.Config.Name, version)
-	if t := m.tallies[version]; t != nil {
-		share = min(share, 1-t.lost)
+	if res := m.resultsByVersion[version]; res != nil {
+		share = min(share, 1-res.lostShare)
 	}
 	return share
 }
 
-// move goes on with another version. What was received at the present one is
-// kept apart, in case that it stays the best.
-func (m *Machine) move(version uint64) {
+// moveToVersion withdraws all attempts and asks for all parts at another version. The
+// results at the old version are kept: they are the answer if they stay the best.
+func (m *Machine) moveToVersion(version uint64) {
 	m.withdrawAll()
 	m.version = version
-	m.moves++
-	m.plan()
+	m.versionMoves++
+	m.planParts()
 }
