--- a/kernel/dispatch/admission.go
+++ b/kernel/dispatch/admission.go
@@ -5,95 +5,103 @@
 	"time"
 )
 
-// LoadEstimator tells how a query's parts would fare on one upstream; *Machine is one.
+// LoadEstimator estimates how the parts of a query would fare on one upstream. *Machine
+// implements it.
 type LoadEstimator interface {
-	CountServableShards(caller string, priority int, within, patience time.Duration) (fit, total int, wait time.Duration)
-	// ShouldYield says that a more urgent query is refused so often that this one is, too.
+	// CountServableShards returns the number of shards whose part of a query would be
+	// queued for at most patience and end within the given time, the number of all
+	// shards, and the longest queueing time.
+	CountServableShards(caller string, priority int, within, patience time.Duration) (servable, total int, wait time.Duration)
+	// ShouldYield reports whether a query of this priority is to be refused because more
+	// urgent queries are refused.
 	ShouldYield(priority int, now time.Time) bool
-	// RecordDecision is called with each decision.
-	RecordDecision(priority int, taken bool, now time.Time)
+	// RecordDecision is called with each decision on a query.
+	RecordDecision(priority int, admitted bool, now time.Time)
 }
 
-// Decision says whether a query is taken in. A refused query has run nowhere.
+// Decision says whether a query is admitted. A refused query has run nowhere.
 type Decision struct {
 	Admitted bool
-	// RetryAfter is when a refused caller should come back.
+	// RetryAfter is the delay after which the caller of a refused query should retry.
 	RetryAfter time.Duration
 	// ServableShare is the share of shards that would answer in time, in [0, 1].
 	ServableShare float64
-	// YieldedToUrgent says that it was refused for more urgent queries.
+	// YieldedToUrgent says that the query was refused because more urgent ones are.
 	YieldedToUrgent bool
 }
 
-// Patience is the share of a query's time that it may spend in a queue here.
-// It falls by patienceDown with each answer that came short for lack of time
-// and rises by patienceUp with each useful one while there is refusal, so it
-// settles where one admitted query in a hundred comes short.
+// Patience is the share of a query's time that it may spend in a queue of this
+// instance. It falls by patienceDecrease with each answer that is incomplete for lack
+// of time, and rises by patienceIncrease with each useful one while queries are
+// refused. So it settles where one admitted query in a hundred is incomplete.
 const (
-	patienceStart = 0.25
-	patienceLeast = 0.05
-	patienceMost  = 0.9
-	patienceUp    = 0.001
-	patienceDown  = 0.1
+	initialPatience  = 0.25
+	minPatience      = 0.05
+	maxPatience      = 0.9
+	patienceIncrease = 0.001
+	patienceDecrease = 0.1
 )
 
-// Bounds of RetryAfter, and the time over which arrivals are averaged.
+// Bounds of RetryAfter, and the time over which admissions are counted.
 const (
-	leastRetryAfter = 50 * time.Millisecond
-	mostRetryAfter  = 30 * time.Second
-	rateWindow      = time.Second
+	minRetryAfter = 50 * time.Millisecond
+	maxRetryAfter = 30 * time.Second
+	rateWindow    = time.Second
 )
 
-// QueryRequest is what admission needs to know of a query.
+// QueryRequest describes a query to Admission.
 type QueryRequest struct {
 	Caller string
 	// Share is the caller's document.Caller.Share, at least 1.
 	Share int
 	// Priority is the service's; 0 is the most urgent.
 	Priority int
-	// TimeLeft is the time in which an answer has its full value.
+	// TimeLeft is the time until the objective, within which an answer has its full
+	// value.
 	TimeLeft time.Duration
-	// LeastCoverage is the share of shards from which the answer is useful.
+	// LeastCoverage is the least share of shards that makes an answer useful.
 	LeastCoverage float64
 }
 
-// Admission decides on whole queries of one service at one entry, so that no
-// work goes to parts of a query whose other parts can't be served.
+// Admission admits or refuses whole queries of one service at one instance, so that no
+// work is spent on parts of a query whose other parts can't be served. It is not safe
+// for concurrent use.
 type Admission struct {
 	rand *rand.Rand
-	// refused is the number of callers that were asked to come back and have
-	// not been taken in since.
+	// refused is the number of callers that were told to retry and have not been
+	// admitted since.
 	refused float64
 	// admitted is a decaying count of admissions over rateWindow.
-	admitted float64
-	last     time.Time
-	// patience is a share in [patienceLeast, patienceMost].
+	admitted  float64
+	decayedAt time.Time
+	// patience is a share in [minPatience, maxPatience].
 	patience    float64
 	lastRefusal time.Time
 	usage       usage
 }
 
-// NewAdmission returns an admission with its own seeded randomness.
+// NewAdmission returns an Admission whose jitter is seeded with seed.
 func NewAdmission(seed uint64) *Admission {
-	return &Admission{rand: rand.New(rand.NewPCG(seed, seed)), patience: patienceStart, usage: newUsage()}
+	return &Admission{rand: rand.New(rand.NewPCG(seed, seed)), patience: initialPatience, usage: newUsage()}
 }
 
-// Admit decides on a query over the given upstreams. At least one shard must fit.
+// Admit decides on a query over the given upstreams. At least one shard must be
+// servable.
 func (a *Admission) Admit(q QueryRequest, upstreams []LoadEstimator, now time.Time) Decision {
-	a.age(now)
-	factor := a.usage.offered(q.Caller, q.Share, now)
-	patience := time.Duration(min(patienceMost, a.patience*factor) * float64(q.TimeLeft))
-	fit, total := 0, 0
+	a.decay(now)
+	factor := a.usage.recordOffer(q.Caller, q.Share, now)
+	patience := time.Duration(min(maxPatience, a.patience*factor) * float64(q.TimeLeft))
+	servable, total := 0, 0
 	var wait time.Duration
 	for _, u := range upstreams {
-		f, t, w := u.CountServableShards(q.Caller, q.Priority, q.TimeLeft, patience)
-		fit, total, wait = fit+f, total+t, max(wait, w)
+		s, t, w := u.CountServableShards(q.Caller, q.Priority, q.TimeLeft, patience)
+		servable, total, wait = servable+s, total+t, max(wait, w)
 	}
 	d := Decision{ServableShare: 1}
 	if total > 0 {
-		d.ServableShare = float64(fit) / float64(total)
+		d.ServableShare = float64(servable) / float64(total)
 	}
-	d.Admitted = (fit > 0 || total == 0) && d.ServableShare >= q.LeastCoverage
+	d.Admitted = (servable > 0 || total == 0) && d.ServableShare >= q.LeastCoverage
 	for _, u := range upstreams {
 		d.YieldedToUrgent = d.YieldedToUrgent || d.Admitted && u.ShouldYield(q.Priority, now)
 	}
@@ -103,7 +111,7 @@
 	}
 	if d.Admitted {
 		a.admitted++
-		a.usage.admitted(q.Caller)
+		a.usage.recordAdmission(q.Caller)
 		a.refused = max(0, a.refused-1)
 		return d
 	}
@@ -113,40 +121,40 @@
 	return d
 }
 
-// RecordAnswer tells how an admitted query ended: useful when it met the least
-// coverage while the answer had its full value, late when it did not since it had to
-// wait (and not because a shard has no leaf, or a leaf is slow, say: to take in fewer
-// queries would mend neither).
+// RecordAnswer reports the end of an admitted query: useful if it reached the least
+// coverage by the objective, and late if it did not because its parts were queued. Other
+// causes, such as a shard without a leaf or a slow leaf, do not make it late, as
+// admitting fewer queries would mend none of them.
 func (a *Admission) RecordAnswer(useful, late bool, now time.Time) {
 	switch {
 	case late:
-		a.patience = max(patienceLeast, a.patience-patienceDown)
+		a.patience = max(minPatience, a.patience-patienceDecrease)
 	case useful && !a.lastRefusal.IsZero() && now.Sub(a.lastRefusal) < rateWindow:
-		a.patience = min(patienceMost, a.patience+patienceUp)
+		a.patience = min(maxPatience, a.patience+patienceIncrease)
 	}
 }
 
-// age lets the count of admissions decay.
-func (a *Admission) age(now time.Time) {
-	if a.last.IsZero() {
-		a.last = now
+// decay ages the count of admissions.
+func (a *Admission) decay(now time.Time) {
+	if a.decayedAt.IsZero() {
+		a.decayedAt = now
 	}
-	kept := max(0, 1-float64(now.Sub(a.last))/float64(rateWindow))
+	kept := max(0, 1-float64(now.Sub(a.decayedAt))/float64(rateWindow))
 	a.admitted *= kept
-	a.last = now
+	a.decayedAt = now
 }
 
-// retryAfter spreads the refused callers over the time that it takes to serve
-// them all at the present rate, after the queue has emptied.
+// retryAfter spreads the refused callers over the time in which all of them can be
+// served at the present rate, beginning when the queue has emptied.
 func (a *Admission) retryAfter(wait time.Duration) time.Duration {
 	backlog := time.Duration(a.refused / max(1, a.admitted) * float64(rateWindow))
-	wait = min(wait, mostRetryAfter/2)
-	backlog = min(backlog, mostRetryAfter-wait) // bounded before the jitter, so that nobody gets the bound itself
+	wait = min(wait, maxRetryAfter/2)
+	backlog = min(backlog, maxRetryAfter-wait) // before the jitter, so that the retries do not pile up at the bound
 	d := wait + time.Duration(a.rand.Float64()*float64(backlog))
-	return max(d, jittered(a.rand, leastRetryAfter))
+	return max(d, jittered(a.rand, minRetryAfter))
 }
 
-// jittered returns d and up to as much again.
+// jittered returns a duration uniform in [d, 2d).
 func jittered(r *rand.Rand, d time.Duration) time.Duration {
 	return d + time.Duration(r.Float64()*float64(d))
 }
--- a/kernel/dispatch/change.go
+++ b/kernel/dispatch/change.go
@@ -9,21 +9,21 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/view"
 )
 
-// change takes over a new view. Running attempts keep their leaf. Waiting ones
-// move to the shard with the same range; where that is gone they are refused,
-// so that the query asks the new shards.
-func (m *Machine) change(v *view.View, now time.Time) {
+// changeView installs a new view. Running attempts keep their leaf. Queued ones move to
+// the shard with the same key range; without such a shard they are refused, so that the
+// query asks the new shards.
+func (m *Machine) changeView(v *view.View, now time.Time) {
 	old := m.shards
-	m.install(v)
-	moved := make(map[keyrange.Range]*shard, len(m.shards))
+	m.installView(v)
+	byRange := make(map[keyrange.Range]*shard, len(m.shards))
 	for _, s := range m.shards {
-		moved[s.keys] = s
+		byRange[s.keys] = s
 	}
 	for _, s := range old {
-		m.move(s, moved[s.keys])
+		m.moveWaiting(s, byRange[s.keys])
 	}
 	for _, a := range m.running {
-		if s := moved[a.shard.keys]; s != nil {
+		if s := byRange[a.shard.keys]; s != nil {
 			a.shard = s
 		}
 	}
@@ -32,15 +32,17 @@
 	}
 }
 
-// move gives a shard's waiting attempts and what it learnt to its successor.
-func (m *Machine) move(from, to *shard) {
-	var items []*attempt
+// moveWaiting moves the queued attempts and the latency estimate of a shard to its
+// successor, which is nil when its key range is gone. It refuses the attempts when no
+// leaf can take them.
+func (m *Machine) moveWaiting(from, to *shard) {
+	var waiting []*attempt
 	for _, q := range from.queue.active {
-		items = append(items, q.all()...)
+		waiting = append(waiting, q.all()...)
 	}
-	for _, a := range items {
-		m.release(a)
-		if to == nil || !to.present() {
+	for _, a := range waiting {
+		m.releaseReservation(a)
+		if to == nil || !to.acceptsWork() {
 			delete(m.waiting, a.ticket)
 			m.expiry.remove(a)
 			a.queued = false
@@ -64,9 +66,9 @@
 	from.queue = fairQueue{}
 }
 
-// install resolves the upstream of the view by name. An upstream that is gone
-// has no shards.
-func (m *Machine) install(v *view.View) {
+// installView replaces the shards by those of the view, in which it finds the upstream
+// by name. An upstream that is gone has no shards.
+func (m *Machine) installView(v *view.View) {
 	m.setWeights(v)
 	m.byIndex = make(map[int]*leaf)
 	m.shards, m.stalled = nil, nil
@@ -104,18 +106,18 @@
 	m.shards = append(m.shards, s)
 }
 
-// addLeaf finds or makes the leaf's state and updates it.
+// addLeaf updates the state of a leaf from the view, and creates it for a new leaf.
 func (m *Machine) addLeaf(index int, in view.Leaf) *leaf {
 	l := m.leaves[in.ID]
 	if l == nil {
-		l = &leaf{id: in.ID, key: m.keys, limit: m.newLimit()}
-		m.keys++
+		l = &leaf{id: in.ID, key: m.nextLeafKey, limit: m.newLimit()}
+		m.nextLeafKey++
 		m.leaves[in.ID] = l
 	}
 	l.index = index
 	l.local = in.Zone == m.zone
 	l.leaving = in.Leaving
-	l.share = in.Connections
+	l.connections = in.Connections
 	l.limit.SetShare(in.Connections)
 	m.byIndex[index] = l
 	return l
--- a/kernel/dispatch/config.go
+++ b/kernel/dispatch/config.go
@@ -8,46 +8,46 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/view"
 )
 
-// Policies names the plug-ins of one machine.
+// Policies names the policy plug-ins of one Machine.
 type Policies struct {
 	Routing string
 	Order   string
 	Limit   string
-	// Unbounded is the baseline without refusals: whatever is offered waits
+	// Unbounded turns refusals off, as a baseline for comparisons: every attempt waits
 	// until its deadline.
 	Unbounded bool
 }
 
-// DefaultPolicies are the policies for production.
+// DefaultPolicies returns the policies for production.
 func DefaultPolicies() Policies {
 	return Policies{Routing: "two-choices", Order: "adaptive", Limit: "adaptive"}
 }
 
-// BaselinePolicies are the plain policies that measurements stand beside.
+// BaselinePolicies returns simple policies as a baseline for comparisons.
 func BaselinePolicies() Policies {
 	return Policies{Routing: "round-robin", Order: "fifo", Limit: "fixed", Unbounded: true}
 }
 
-// Config is what a machine is built from.
+// Config configures a Machine.
 type Config struct {
 	// Upstream is the index of the upstream in the view.
 	Upstream int
 	View     *view.View
-	// Zone is this entry's availability zone.
+	// Zone is this instance's availability zone.
 	Zone     string
 	Policies Policies
-	// MaxQueued is the most attempts that wait per shard; 0 sets no bound but time.
+	// MaxQueued is the greatest number of queued attempts per shard; 0 sets no bound.
 	MaxQueued int
 	Seed      uint64
 }
 
-// ConfigError says which field of Config is wrong.
+// ConfigError reports an invalid field of Config.
 type ConfigError struct {
 	Field string
 	Err   error
 }
 
-// Error names the field.
+// Error returns the name of the field and the cause.
 func (e *ConfigError) Error() string {
 	return fmt.Sprintf("dispatch configuration: %s: %v", e.Field, e.Err)
 }
@@ -55,7 +55,7 @@
 // Unwrap returns the cause.
 func (e *ConfigError) Unwrap() error { return e.Err }
 
-// New returns a machine for one upstream of the view, or a ConfigError.
+// New returns a Machine for one upstream of the view, or a ConfigError.
 func New(cfg Config) (*Machine, error) {
 	if cfg.View == nil {
 		return nil, &ConfigError{Field: "View", Err: fmt.Errorf("is nil")}
@@ -87,6 +87,6 @@
 		running:   make(map[Ticket]*attempt),
 		waiting:   make(map[Ticket]*attempt),
 	}
-	m.install(cfg.View)
+	m.installView(cfg.View)
 	return m, nil
 }
--- a/kernel/dispatch/away_test.go
+++ b/kernel/dispatch/cross_zone_test.go
@@ -10,7 +10,8 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/view"
 )
 
-// zonedView has a shard for each list of zones, with a leaf in each.
+// zonedView returns a view with a shard for each list of zones, which has a leaf in each
+// of them. Leaf l3-0 is leaving.
 func zonedView(shards ...[]string) *view.View {
 	up := document.Upstream{Name: "up", KeySpace: uint64(len(shards))}
 	for i, zones := range shards {
@@ -24,26 +25,27 @@
 	return view.Build(1, "", &document.Document{Upstreams: []document.Upstream{up}}, leaving, func(*document.Upstream, string) int { return 1 })
 }
 
-// TestAway lists the shards that would be asked in other zones, by a policy that takes
-// the first leaf, and the leaves that would be asked.
-func TestAway(t *testing.T) {
+// TestCrossZoneShards checks which shards and leaves are listed with a policy that picks
+// the first leaf.
+func TestCrossZoneShards(t *testing.T) {
 	v := zonedView([]string{"own"}, []string{"b", "own"}, nil, []string{"own", "b"}, []string{"own", "c"})
 	m, err := New(Config{View: v, Zone: "own", Policies: Policies{Routing: fakePolicy, Order: fakePolicy, Limit: fakePolicy}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	got := m.CrossZoneShards(start)
-	// Shard 1 has its first leaf elsewhere, that of shard 3 in the own zone leaves.
+	// The first leaf of shard 1 is in another zone; that of shard 3 is in the own zone
+	// but leaving.
 	want := []CrossZoneShard{
 		{Shard: 1, Leaves: []int{v.Upstreams[0].Leaf("l1-0")}},
 		{Shard: 3, Leaves: []int{v.Upstreams[0].Leaf("l3-1")}},
 	}
 	same := slices.EqualFunc(got, want, func(a, b CrossZoneShard) bool { return a.Shard == b.Shard && slices.Equal(a.Leaves, b.Leaves) })
 	if !same {
-		t.Errorf("away %v, want %v", got, want)
+		t.Errorf("cross-zone shards %v, want %v", got, want)
 	}
 	m.Handle(offered(1), start) // takes the one connection to the leaf of shard 0
 	if again := m.CrossZoneShards(start); len(again) != len(want) {
-		t.Errorf("away %v after a leaf of the own zone is full, want no more than before", again)
+		t.Errorf("cross-zone shards %v when a leaf of the own zone is full, want no more than before", again)
 	}
 }
--- a/kernel/dispatch/estimate.go
+++ b/kernel/dispatch/estimate.go
@@ -6,167 +6,172 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/repetition"
 )
 
-// latencyGain weighs one reply in a shard's moving average of latency.
+// latencyGain is the weight of one attempt in a shard's moving average of latency.
 const latencyGain = 0.05
 
-// observe adds one reply's latency to the shard's average.
-func (s *shard) observe(d time.Duration) {
-	x := d.Seconds()
+// observeLatency adds the latency of one attempt to the shard's moving average.
+func (s *shard) observeLatency(d time.Duration) {
+	seconds := d.Seconds()
 	if s.meanLatency == 0 {
-		s.meanLatency = x
+		s.meanLatency = seconds
 		return
 	}
-	s.meanLatency += latencyGain * (x - s.meanLatency)
+	s.meanLatency += latencyGain * (seconds - s.meanLatency)
 }
 
-// interval is the mean time between services of the shard at this entry:
-// latency over the number in flight (Little's law).
-func (s *shard) interval() time.Duration {
+// serviceInterval returns the mean time between two services of the shard for this
+// instance: latency divided by the number in flight (Little's law).
+func (s *shard) serviceInterval() time.Duration {
 	return time.Duration(s.meanLatency / float64(max(1, s.inFlight())) * float64(time.Second))
 }
 
-// times holds quantiles of an upstream's latency, refreshed now and then.
-type times struct {
-	// sketch remembers long, for quantiles far out, and recent what decisions on load
-	// need.
-	sketch, recent repetition.Latency
-	seen           int
-	agedAt         time.Time     // of recent
-	last           time.Time     // of the last reply
-	least          time.Duration // low quantile
-	median         time.Duration
-	most           time.Duration // high quantile
+// latencyStats keeps quantiles of an upstream's latency, which are recomputed at
+// intervals.
+type latencyStats struct {
+	// longTerm has a long memory, for extreme quantiles; recent serves the decisions on
+	// load.
+	longTerm, recent repetition.Latency
+	replies          int
+	agedAt           time.Time     // when recent was aged last
+	lastReply        time.Time     // when the last reply came
+	low              time.Duration // lowQuantile of recent
+	median           time.Duration
+	high             time.Duration // highQuantile of recent
 }
 
-// Quantiles of latency that decisions use, and how often they are refreshed.
+// Quantiles of latency that decisions use, and the numbers of replies after which they
+// are recomputed.
 const (
-	leastQuantile   = 0.05
-	mostQuantile    = 0.9
-	refreshInterval = 64
-	firstRefresh    = 20
+	lowQuantile         = 0.05
+	highQuantile        = 0.9
+	refreshReplies      = 64
+	firstRefreshReplies = 20
 )
 
-// What was seen before a silence of staleAfter says little of now: it refuses
-// nothing until a reply comes, and staleWeight new replies outweigh it.
+// After staleAfter without a reply the recorded latencies are stale: they refuse nothing
+// until a reply comes, and staleWeight new replies outweigh them.
 const (
 	staleAfter  = time.Second
 	staleWeight = 40
-	// agingInterval halves what recent remembers, so that latencies of a burst refuse
-	// nothing once it is over.
+	// agingInterval is the time after which recent is halved, so that the latencies of a
+	// burst refuse nothing once it is over.
 	agingInterval = 250 * time.Millisecond
 )
 
-// known reports whether the quantiles describe the present. If silence were
-// taken for slowness, refusals would keep it silent for ever.
-func (t *times) known(now time.Time) bool { return now.Sub(t.last) <= staleAfter }
+// fresh reports whether the quantiles describe the present. If silence counted as
+// slowness, refusals would keep the upstream silent for ever.
+func (l *latencyStats) fresh(now time.Time) bool { return now.Sub(l.lastReply) <= staleAfter }
 
-func (t *times) observe(d time.Duration, now time.Time) {
-	if !t.known(now) {
-		t.sketch.Fade(staleWeight)
-		t.recent.Fade(staleWeight)
-		t.seen, t.least, t.median, t.most = 0, 0, 0, 0
+func (l *latencyStats) observe(d time.Duration, now time.Time) {
+	if !l.fresh(now) {
+		l.longTerm.Fade(staleWeight)
+		l.recent.Fade(staleWeight)
+		l.replies, l.low, l.median, l.high = 0, 0, 0, 0
 	}
-	t.last = now
-	aged := now.Sub(t.agedAt) >= agingInterval
+	l.lastReply = now
+	aged := now.Sub(l.agedAt) >= agingInterval
 	if aged {
-		t.agedAt = now
-		t.recent.Age(staleWeight)
+		l.agedAt = now
+		l.recent.Age(staleWeight)
 	}
-	t.sketch.Observe(d)
-	t.recent.Observe(d)
-	t.seen++
-	if t.due(aged) {
-		t.refresh()
+	l.longTerm.Observe(d)
+	l.recent.Observe(d)
+	l.replies++
+	if l.refreshDue(aged) {
+		l.refresh()
 	}
 }
 
-// due reports whether the quantiles are to be taken again.
-func (t *times) due(aged bool) bool {
-	if t.seen <= firstRefresh {
-		return t.seen == firstRefresh
+// refreshDue reports whether the quantiles are to be recomputed.
+func (l *latencyStats) refreshDue(aged bool) bool {
+	if l.replies <= firstRefreshReplies {
+		return l.replies == firstRefreshReplies
 	}
-	return aged || t.seen%refreshInterval == 0
+	return aged || l.replies%refreshReplies == 0
 }
 
-// refresh takes the quantiles again.
-func (t *times) refresh() {
-	t.least = t.recent.Quantile(leastQuantile)
-	t.median = t.recent.Quantile(0.5)
-	t.most = t.recent.Quantile(mostQuantile)
+func (l *latencyStats) refresh() {
+	l.low = l.recent.Quantile(lowQuantile)
+	l.median = l.recent.Quantile(0.5)
+	l.high = l.recent.Quantile(highQuantile)
 }
 
-// Estimate is how a new attempt would fare now.
+// Estimate describes how a new attempt would fare now.
 type Estimate struct {
-	// Wait is the expected queueing time at this entry of the worst shard.
+	// Wait is the expected queueing time at this instance, on the shard where it is
+	// longest.
 	Wait time.Duration
-	// Median and High are quantiles of the latency after dispatch.
+	// Median and High are quantiles of the latency after dispatch; High is the 0.9
+	// quantile.
 	Median, High time.Duration
-	// Backlog is the number of attempts that wait at this entry.
+	// Backlog is the number of attempts that are queued at this instance.
 	Backlog int
 }
 
 // Estimate returns the present estimate over all shards.
 func (m *Machine) Estimate(_ time.Time) Estimate {
-	e := Estimate{Median: m.times.median, High: m.times.most, Backlog: len(m.waiting)}
+	e := Estimate{Median: m.latency.median, High: m.latency.high, Backlog: len(m.waiting)}
 	for _, s := range m.shards {
 		e.Wait = max(e.Wait, m.drainTime(s))
 	}
 	return e
 }
 
-// CountServableShards counts the shards on which a new attempt of the caller and priority would wait no
-// longer than patience and still finish within the given time, and all shards.
-// wait is the longest queueing time among the shards.
-func (m *Machine) CountServableShards(caller string, priority int, within, patience time.Duration) (fit, total int, wait time.Duration) {
+// CountServableShards counts the shards on which a new attempt of the caller and
+// priority would be queued for at most patience and still end within the given time, and
+// all shards. wait is the longest queueing time of a shard.
+func (m *Machine) CountServableShards(caller string, priority int, within, patience time.Duration) (servable, total int, wait time.Duration) {
 	w := m.weight(caller)
 	for _, s := range m.shards {
 		if s.idle() {
-			fit++ // whatever is known of it may be old: let it show
+			servable++ // the recorded latency may be stale; a new attempt updates it
 			continue
 		}
 		d := m.callerWait(s, caller, priority, w)
 		wait = max(wait, d)
-		if d <= patience && d+m.times.median <= within {
-			fit++
+		if d <= patience && d+m.latency.median <= within {
+			servable++
 		}
 	}
-	return fit, len(m.shards), wait
+	return servable, len(m.shards), wait
 }
 
-// fits reports whether the attempt would be dispatched early enough.
-func (m *Machine) fits(a *attempt, now time.Time) bool {
-	if m.unbounded || a.shard.idle() || !m.times.known(now) {
+// startsInTime reports whether the attempt would be dispatched early enough to end by
+// its deadline.
+func (m *Machine) startsInTime(a *attempt, now time.Time) bool {
+	if m.unbounded || a.shard.idle() || !m.latency.fresh(now) {
 		return true
 	}
 	wait := m.callerWait(a.shard, a.caller, a.priority, m.weight(a.caller))
-	return now.Add(wait + m.times.median).Before(a.deadline)
+	return now.Add(wait + m.latency.median).Before(a.deadline)
 }
 
-// Quantile is a quantile of the upstream's recent latency after dispatch, 0
-// while too little has been seen.
-func (m *Machine) Quantile(q float64) time.Duration { return m.times.sketch.Quantile(q) }
+// Quantile returns a quantile of the upstream's recent latency after dispatch, 0 before
+// enough replies were observed.
+func (m *Machine) Quantile(q float64) time.Duration { return m.latency.longTerm.Quantile(q) }
 
-// drainTime is how long the shard's queue takes to empty.
+// drainTime returns the time in which the shard's queue empties at the present rate.
 func (m *Machine) drainTime(s *shard) time.Duration {
-	return time.Duration(s.queue.length) * s.interval()
+	return time.Duration(s.queue.length) * s.serviceInterval()
 }
 
-// callerWait is how long a new attempt of the caller would wait: its own
-// queue at its share of the service, and no longer than the whole queue. What is late
-// already yields to it.
+// callerWait returns how long a new attempt of the caller would be queued: the time to
+// serve the attempts ahead of it in the caller's own queue at the caller's share of the
+// service, or to serve the whole queue where that is less. Late attempts are not
+// counted, as they yield to the new one.
 func (m *Machine) callerWait(s *shard, caller string, priority int, weight float64) time.Duration {
-	if s.queue.inTime() == 0 {
+	if s.queue.onTimeCount() == 0 {
 		return 0
 	}
 	own, total := 1.0, weight
 	for _, q := range s.queue.active {
 		switch {
 		case q.name == caller:
-			own = q.ahead(priority)
-		case q.inTime() > 0:
+			own = q.attemptsAhead(priority)
+		case q.onTimeCount() > 0:
 			total += q.weight
 		}
 	}
-	turns := min(own*total/weight, float64(s.queue.inTime()))
-	return time.Duration(turns * float64(s.interval()))
+	turns := min(own*total/weight, float64(s.queue.onTimeCount()))
+	return time.Duration(turns * float64(s.serviceInterval()))
 }
--- a/kernel/dispatch/expiry.go
+++ b/kernel/dispatch/expiry.go
@@ -7,11 +7,11 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/query"
 )
 
-// expiryHeap orders waiting attempts by deadline. Each knows its place, so that
-// one that waits no more leaves in O(log n) and nothing of it is kept.
+// expiryHeap is a heap of the queued attempts by deadline. Each attempt knows its index,
+// so that it can be removed in O(log n) when it leaves the queue.
 type expiryHeap []*attempt
 
-// Len, Less, Swap, Push and Pop implement heap.Interface.
+// Len implements heap.Interface, as do the four methods that follow.
 func (h expiryHeap) Len() int { return len(h) }
 
 // Less orders by deadline.
@@ -20,13 +20,13 @@
 // Swap exchanges two attempts.
 func (h expiryHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].place, h[j].place = i, j
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
 
 // Push appends an attempt.
 func (h *expiryHeap) Push(x any) {
 	a := x.(*attempt)
-	a.place = len(*h)
+	a.heapIndex = len(*h)
 	*h = append(*h, a)
 }
 
@@ -36,22 +36,22 @@
 	a := old[len(old)-1]
 	old[len(old)-1] = nil
 	*h = old[:len(old)-1]
-	a.place = noPlace
+	a.heapIndex = notInHeap
 	return a
 }
 
-// noPlace is attempt.place outside the heap.
-const noPlace = -1
+// notInHeap is the heapIndex of an attempt outside the heap.
+const notInHeap = -1
 
 func (h *expiryHeap) push(a *attempt) { heap.Push(h, a) }
 
 func (h *expiryHeap) remove(a *attempt) {
-	if a.place != noPlace {
-		heap.Remove(h, a.place)
+	if a.heapIndex != notInHeap {
+		heap.Remove(h, a.heapIndex)
 	}
 }
 
-// first returns the waiting attempt with the earliest deadline, or nil.
+// first returns the queued attempt with the earliest deadline, or nil.
 func (h expiryHeap) first() *attempt {
 	if len(h) == 0 {
 		return nil
@@ -59,57 +59,58 @@
 	return h[0]
 }
 
-// expire refuses, at once, what can't finish any more.
+// expire refuses the queued attempts that can't end by their deadline.
 func (m *Machine) expire(now time.Time) {
-	for a := m.expiry.first(); a != nil && m.hopeless(a, now); a = m.expiry.first() {
-		m.unqueue(a)
+	for a := m.expiry.first(); a != nil && m.missesDeadline(a, now); a = m.expiry.first() {
+		m.dequeue(a)
 		m.refuse(a.ticket, query.ReasonDeadline, m.drainTime(a.shard))
 		if a.solo {
-			m.serve(a.shard, now) // the leaf that was kept for it is free
+			m.serve(a.shard, now) // its reserved leaf is free for others
 		}
 	}
 }
 
-// hopeless reports whether the attempt can't finish by its deadline if it
-// started now.
-func (m *Machine) hopeless(a *attempt, now time.Time) bool {
-	return !now.Add(m.needed(a, now)).Before(a.deadline)
+// missesDeadline reports whether the attempt would not end by its deadline if it were
+// dispatched now.
+func (m *Machine) missesDeadline(a *attempt, now time.Time) bool {
+	return !now.Add(m.timeNeeded(a, now)).Before(a.deadline)
 }
 
-// needed is the least time to finish. While other work waits it is the median,
-// so that a slot goes to work which more likely than not finishes in time.
-func (m *Machine) needed(a *attempt, now time.Time) time.Duration {
-	if m.unbounded || !m.times.known(now) {
+// timeNeeded returns the time in which an attempt is assumed to end: the lowQuantile of
+// latency or, while other attempts are queued, the median, so that a slot goes to an
+// attempt which more likely than not ends in time.
+func (m *Machine) timeNeeded(a *attempt, now time.Time) time.Duration {
+	if m.unbounded || !m.latency.fresh(now) {
 		return 0
 	}
 	if a.shard.queue.length > 1 {
-		return m.times.median
+		return m.latency.median
 	}
-	return m.times.least
+	return m.latency.low
 }
 
-// askWake asks for a Tick at the next expiry, or soon while work waits for a
-// leaf that no reply will free.
-func (m *Machine) askWake(now time.Time) {
+// requestWake asks for a Tick at the next expiry, or after pollInterval while a shard is
+// stalled.
+func (m *Machine) requestWake(now time.Time) {
 	a := m.expiry.first()
 	if a == nil {
 		return
 	}
-	at := a.deadline.Add(-m.needed(a, now))
+	at := a.deadline.Add(-m.timeNeeded(a, now))
 	if len(m.stalled) > 0 {
-		at = earlier(at, now.Add(pollInterval))
+		at = earlierOf(at, now.Add(pollInterval))
 	}
-	if !m.wake.IsZero() && !at.Before(m.wake) && m.wake.After(now) {
+	if !m.wakeAt.IsZero() && !at.Before(m.wakeAt) && m.wakeAt.After(now) {
 		return
 	}
-	m.wake = at
+	m.wakeAt = at
 	m.actions = append(m.actions, WakeAt{At: at})
 }
 
-// pollInterval is how often work that waits for no running attempt is tried again.
+// pollInterval is how often stalled shards are served.
 const pollInterval = 5 * time.Millisecond
 
-func earlier(a, b time.Time) time.Time {
+func earlierOf(a, b time.Time) time.Time {
 	if b.Before(a) {
 		return b
 	}
--- a/kernel/dispatch/fake_test.go
+++ b/kernel/dispatch/fake_test.go
@@ -14,13 +14,13 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/view"
 )
 
-// fakePolicy names the plain policies that these tests register.
+// fakePolicy is the name under which these tests register their fake policies.
 const fakePolicy = "fake"
 
-// fakeNewest makes the fake order serve the newest first.
+// fakeNewest makes the fake order policy serve the newest query first.
 var fakeNewest bool
 
-// fakeEjected are the keys that the fake routing does not use.
+// fakeEjected are the keys of leaves that the fake routing policy has ejected.
 var fakeEjected = map[int]bool{}
 
 type fakeRouting struct{}
@@ -54,13 +54,13 @@
 	os.Exit(m.Run())
 }
 
-// start is the time at which tests begin.
+// start is the time at which the tests begin.
 var start = time.Unix(1000, 0)
 
-// second is a deadline that no test reaches by chance.
+// second is the usual deadline, which tests reach only on purpose.
 const second = time.Second
 
-// testView is one upstream of equal shards, each with its own leaves, and two
+// testView returns a view with one upstream, in which each shard has its own leaves, and
 // callers "a" and "b" with the given shares.
 func testView(shards, replicas, connections int, shareA, shareB int) *view.View {
 	u := document.Upstream{Name: "u", KeySpace: uint64(shards)}
@@ -78,7 +78,7 @@
 	return view.Build(1, "", doc, never, func(*document.Upstream, string) int { return connections })
 }
 
-// newTestMachine builds a machine with the fake policies.
+// newTestMachine returns a machine with the fake policies.
 func newTestMachine(t interface{ Fatal(...any) }, v *view.View) *Machine {
 	m, err := New(Config{View: v, Policies: Policies{Routing: fakePolicy, Order: fakePolicy, Limit: fakePolicy}})
 	if err != nil {
@@ -87,15 +87,15 @@
 	return m
 }
 
-// ticket names the only attempt of a query.
+// ticket returns the ticket of the first attempt of a query.
 func ticket(q int) Ticket { return Ticket{Query: uint64(q), Attempt: 1} }
 
-// offered is an attempt of caller a on shard 0 with a second's deadline.
+// offered returns an offer of caller a on shard 0 with a deadline in a second.
 func offered(q int) Offered {
 	return Offered{Ticket: ticket(q), Caller: "a", Deadline: start.Add(second)}
 }
 
-// dispatched lists the queries that the actions dispatch.
+// dispatched returns the queries that the actions dispatch.
 func dispatched(actions []Action) []uint64 {
 	var out []uint64
 	for _, a := range actions {
@@ -106,7 +106,7 @@
 	return out
 }
 
-// refusal returns the one refusal of the actions, or nil.
+// refusal returns the first refusal of the actions, or nil.
 func refusal(actions []Action) *Refuse {
 	for _, a := range actions {
 		if r, ok := a.(Refuse); ok {
@@ -116,12 +116,12 @@
 	return nil
 }
 
-// reply ends a query's attempt with a reply.
+// reply returns the end of the first attempt of a query with a reply.
 func reply(q int, latency time.Duration) Finished {
 	return Finished{Ticket: ticket(q), Outcome: OutcomeReply, Latency: latency}
 }
 
-// wantRefused fails the test unless the actions refuse with the reason.
+// wantRefused fails the test unless the first refusal of the actions has the reason.
 func wantRefused(t *testing.T, actions []Action, reason query.DeclineReason) {
 	t.Helper()
 	r := refusal(actions)
--- a/kernel/dispatch/leaf.go
+++ b/kernel/dispatch/leaf.go
@@ -8,44 +8,47 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/plugin"
 )
 
-// leaf is what the machine knows of one leaf; it outlives views.
+// leaf is the state that the machine keeps of one leaf. It outlives changes of the view.
 type leaf struct {
-	id       string
-	key      int // plugin.Candidate.Key
-	index    int // in the present view, -1 when it is not in it
-	local    bool
-	leaving  bool
-	share    int // connections
-	limit    plugin.Limit
-	inFlight int
-	out      []time.Time // when each attempt in flight was dispatched, oldest first
-	// solo says that the leaf runs one attempt alone.
+	id          string
+	key         int // plugin.Candidate.Key
+	index       int // in the present view, -1 when absent
+	local       bool
+	leaving     bool
+	connections int // this instance's share of the leaf's connections
+	limit       plugin.Limit
+	inFlight    int
+	startTimes  []time.Time // dispatch times of the attempts in flight, oldest first
+	// solo says that the attempt in flight must run alone.
 	solo bool
-	// reserved is the attempt that waits for the leaf to be idle.
-	reserved *attempt
-	shards   []*shard
-	next     int // shard to serve first on the next release
+	// reserved is a solo attempt that waits until the leaf is idle; no other attempt is
+	// dispatched meanwhile.
+	reserved   *attempt
+	shards     []*shard
+	firstShard int // index in shards at which serveLeaf last began
 }
 
-// oldest is for how long the oldest attempt in flight has been out.
-func (l *leaf) oldest(now time.Time) time.Duration {
-	if len(l.out) == 0 {
+// oldestAge returns the time since the dispatch of the oldest attempt in flight, 0
+// without any.
+func (l *leaf) oldestAge(now time.Time) time.Duration {
+	if len(l.startTimes) == 0 {
 		return 0
 	}
-	return now.Sub(l.out[0])
+	return now.Sub(l.startTimes[0])
 }
 
-// back forgets an attempt that was dispatched at the given time.
-func (l *leaf) back(started time.Time) {
-	if i := slices.Index(l.out, started); i >= 0 {
-		l.out = slices.Delete(l.out, i, i+1)
+// removeStartTime removes the entry of an attempt that was dispatched at the given time.
+func (l *leaf) removeStartTime(started time.Time) {
+	if i := slices.Index(l.startTimes, started); i >= 0 {
+		l.startTimes = slices.Delete(l.startTimes, i, i+1)
 	}
 }
 
-// room reports whether the leaf may take one more ordinary attempt.
-func (l *leaf) room() bool {
-	return !l.leaving && !l.solo && l.reserved == nil && l.share > 0 &&
-		l.inFlight < min(l.limit.Limit(), l.share)
+// hasRoom reports whether one more attempt that is not solo may be dispatched to the
+// leaf.
+func (l *leaf) hasRoom() bool {
+	return !l.leaving && !l.solo && l.reserved == nil && l.connections > 0 &&
+		l.inFlight < min(l.limit.Limit(), l.connections)
 }
 
 // shard is a key range with its leaves and its queue.
@@ -57,21 +60,23 @@
 	order  plugin.Order
 	// stalled says that the shard is in Machine.stalled.
 	stalled bool
-	// meanLatency is a moving average of replies' latency, in seconds.
+	// meanLatency is a moving average of the latency of replies and timeouts, in
+	// seconds.
 	meanLatency float64
 }
 
-// present reports whether any leaf may get new work at all.
-func (s *shard) present() bool {
+// acceptsWork reports whether the shard has a leaf that is not leaving and to which this
+// instance may connect.
+func (s *shard) acceptsWork() bool {
 	for _, l := range s.leaves {
-		if !l.leaving && l.share > 0 {
+		if !l.leaving && l.connections > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// inFlight is the number of this entry's attempts on the shard's leaves.
+// inFlight returns the number of this instance's attempts on the shard's leaves.
 func (s *shard) inFlight() int {
 	n := 0
 	for _, l := range s.leaves {
@@ -80,5 +85,5 @@
 	return n
 }
 
-// idle reports whether nothing of this entry waits or runs on the shard.
+// idle reports whether no attempt of this instance is queued or runs on the shard.
 func (s *shard) idle() bool { return s.queue.length == 0 && s.inFlight() == 0 }
--- a/kernel/dispatch/machine.go
+++ b/kernel/dispatch/machine.go
@@ -9,42 +9,45 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/view"
 )
 
-// The machine has the kernel's one shape.
+// Machine has the interface that all state machines of the kernel share.
 var _ machine.Machine[Event, Action] = (*Machine)(nil)
 
-// scanDepth bounds how many of a caller's waiting attempts are tried when the
+// scanDepth bounds how many queued attempts of a caller and priority are tried when the
 // first ones avoid the leaves that have room.
 const scanDepth = 4
 
-// Machine dispatches the attempts of one upstream at one entry.
+// Machine queues and dispatches the attempts of one upstream at one instance. It is not
+// safe for concurrent use.
 type Machine struct {
-	queueBound int // most attempts that wait per shard; 0: no bound
-	upstream   string
-	zone       string
-	unbounded  bool
-	newOrder   func() plugin.Order
-	newLimit   func() plugin.Limit
-	routing    plugin.Routing
-	leaves     map[string]*leaf
-	keys       int // next leaf key
-	byIndex    map[int]*leaf
-	shards     []*shard
-	weights    map[string]float64 // caller shares by name
-	running    map[Ticket]*attempt
-	waiting    map[Ticket]*attempt
-	// stalled are the shards with waiting work and none running.
-	stalled    []*shard
-	times      times
-	precedence precedence
-	expiry     expiryHeap
-	wake       time.Time // the Tick asked for, zero for none
-	actions    []Action
+	maxQueued   int // per shard; 0: no bound
+	upstream    string
+	zone        string
+	unbounded   bool
+	newOrder    func() plugin.Order
+	newLimit    func() plugin.Limit
+	routing     plugin.Routing
+	leaves      map[string]*leaf
+	nextLeafKey int // key of the next new leaf
+	byIndex     map[int]*leaf
+	shards      []*shard
+	weights     map[string]float64 // shares by caller name
+	running     map[Ticket]*attempt
+	waiting     map[Ticket]*attempt
+	// stalled are the shards with queued attempts and none running, whose end would
+	// serve the queue.
+	stalled           []*shard
+	latency           latencyStats
+	priorityAdmission priorityAdmission
+	expiry            expiryHeap
+	wakeAt            time.Time // time of the requested Tick, zero for none
+	actions           []Action
 
-	candidates []plugin.Candidate // scratch
-	chosen     []*leaf            // scratch, beside candidates
+	candidates      []plugin.Candidate // scratch space of collectCandidates
+	candidateLeaves []*leaf            // their leaves, by the same index
 }
 
-// Handle takes one event. The actions are valid until the next call.
+// Handle processes one event and returns the resulting actions. The slice is valid until
+// the next call.
 func (m *Machine) Handle(ev Event, now time.Time) []Action {
 	m.actions = m.actions[:0]
 	switch ev := ev.(type) {
@@ -55,49 +58,49 @@
 	case Finished:
 		m.finish(ev, now)
 	case ViewChanged:
-		m.change(ev.View, now)
+		m.changeView(ev.View, now)
 	case LoadHint:
 		if l := m.byIndex[ev.Leaf]; l != nil {
 			m.routing.Hint(l.key, ev.InFlight, ev.Queued, now)
 		}
 	case SlowLeavesReported:
-		m.peersReported(ev.Leaves)
+		m.applyPeerReports(ev.Leaves)
 	case Tick:
 		m.tick(now)
 	}
 	m.expire(now)
-	m.askWake(now)
+	m.requestWake(now)
 	return m.actions
 }
 
-// offer queues an attempt and serves its shard.
+// offer queues or refuses an attempt and serves its shard.
 func (m *Machine) offer(ev Offered, now time.Time) {
 	if ev.Shard < 0 || ev.Shard >= len(m.shards) {
 		m.refuse(ev.Ticket, query.ReasonWrongRange, 0)
 		return
 	}
 	s := m.shards[ev.Shard]
-	if !s.present() {
+	if !s.acceptsWork() {
 		m.refuse(ev.Ticket, query.ReasonNoLeaf, 0)
 		return
 	}
 	a := &attempt{
 		ticket: ev.Ticket, shard: s, caller: ev.Caller, priority: ev.Priority, deadline: ev.Deadline,
-		due: ev.Due, offered: now, hedge: ev.Hedge, solo: ev.Solo, place: noPlace,
+		due: ev.Due, offered: now, hedge: ev.Hedge, solo: ev.Solo, heapIndex: notInHeap,
 	}
 	if a.due.IsZero() || a.due.After(a.deadline) {
 		a.due = a.deadline
 	}
 	m.setAvoid(a, ev)
-	if a.hedge && !m.hedgeFits(a) {
+	if a.hedge && !m.hedgeAllowed(a) {
 		m.refuse(ev.Ticket, query.ReasonOverloaded, 0)
 		return
 	}
-	if m.hopeless(a, now) {
+	if m.missesDeadline(a, now) {
 		m.refuse(ev.Ticket, query.ReasonDeadline, m.drainTime(s))
 		return
 	}
-	if m.full(s) || !m.fits(a, now) {
+	if m.queueFull(s) || !m.startsInTime(a, now) {
 		m.refuse(ev.Ticket, query.ReasonOverloaded, m.drainTime(s))
 		return
 	}
@@ -109,13 +112,13 @@
 	}
 }
 
-// full reports whether the shard's queue has reached its bound.
-func (m *Machine) full(s *shard) bool {
-	return m.queueBound > 0 && s.queue.length >= m.queueBound
+// queueFull reports whether the shard's queue has reached its bound.
+func (m *Machine) queueFull(s *shard) bool {
+	return m.maxQueued > 0 && s.queue.length >= m.maxQueued
 }
 
-// setAvoid turns view indexes into leaves. A retry that would avoid every leaf
-// avoids none: its earlier attempts provably did not run.
+// setAvoid resolves the leaves to avoid. A retry that would avoid every leaf avoids
+// none, as its earlier attempts provably did not run.
 func (m *Machine) setAvoid(a *attempt, ev Offered) {
 	for _, i := range ev.Avoid {
 		if l := m.byIndex[i]; l != nil {
@@ -126,47 +129,47 @@
 		return
 	}
 	for _, l := range a.shard.leaves {
-		if !l.leaving && l.share > 0 && !a.avoids(l) {
+		if !l.leaving && l.connections > 0 && !a.avoids(l) {
 			return
 		}
 	}
 	a.avoid = nil
 }
 
-// hedgeFits reports whether a hedge may be queued: there is another leaf for
-// it, and the queue is so short that the copy adds nothing to an overload.
-func (m *Machine) hedgeFits(a *attempt) bool {
-	if m.drainTime(a.shard) > m.times.median {
+// hedgeAllowed reports whether a hedge may be queued: the shard has another leaf for it,
+// and the queue is so short that the hedge does not add to an overload.
+func (m *Machine) hedgeAllowed(a *attempt) bool {
+	if m.drainTime(a.shard) > m.latency.median {
 		return false
 	}
 	for _, l := range a.shard.leaves {
-		if !l.leaving && l.share > 0 && !a.avoids(l) {
+		if !l.leaving && l.connections > 0 && !a.avoids(l) {
 			return true
 		}
 	}
 	return false
 }
 
-// withdraw drops a queued attempt. A running one ends by Finished.
+// withdraw removes a queued attempt. It ignores a running one, which ends by Finished.
 func (m *Machine) withdraw(t Ticket, now time.Time) {
 	a := m.waiting[t]
 	if a == nil {
 		return
 	}
-	m.unqueue(a)
+	m.dequeue(a)
 	m.serve(a.shard, now) // a reserved leaf may be free for others
 }
 
-// unqueue removes a waiting attempt from every place that knows it.
-func (m *Machine) unqueue(a *attempt) {
+// dequeue removes a queued attempt and all references to it.
+func (m *Machine) dequeue(a *attempt) {
 	delete(m.waiting, a.ticket)
 	a.shard.queue.remove(a)
 	m.expiry.remove(a)
-	m.release(a)
+	m.releaseReservation(a)
 }
 
-// release ends a waiting attempt's reservation.
-func (m *Machine) release(a *attempt) {
+// releaseReservation ends a queued attempt's reservation of a leaf.
+func (m *Machine) releaseReservation(a *attempt) {
 	for _, l := range a.shard.leaves {
 		if l.reserved == a {
 			l.reserved = nil
@@ -174,25 +177,26 @@
 	}
 }
 
-// finish frees the leaf, teaches the policies and serves what waits.
+// finish removes a running attempt from its leaf, reports its end to the policies and
+// serves the queues of the leaf.
 func (m *Machine) finish(ev Finished, now time.Time) {
 	a := m.running[ev.Ticket]
 	if a == nil {
-		return // unknown or repeated
+		return // unknown, or reported before
 	}
 	delete(m.running, ev.Ticket)
 	l := a.leaf
 	l.inFlight--
-	l.back(a.started)
+	l.removeStartTime(a.started)
 	if a.solo {
 		l.solo = false
 	}
-	m.learn(a, ev, now)
+	m.reportEnd(a, ev, now)
 	m.serveLeaf(l, now)
 }
 
-// learn reports an attempt's end to the policies.
-func (m *Machine) learn(a *attempt, ev Finished, now time.Time) {
+// reportEnd passes an attempt's end to the policies and the latency estimates.
+func (m *Machine) reportEnd(a *attempt, ev Finished, now time.Time) {
 	s := plugin.Sample{
 		OK:        ev.Outcome == OutcomeReply,
 		Shed:      ev.Outcome == OutcomeShed,
@@ -207,29 +211,29 @@
 	a.leaf.limit.Finished(s, now)
 	m.routing.Finished(a.leaf.key, s, now)
 	if s.OK || s.TimedOut {
-		a.shard.observe(ev.Latency) // either way it held its place for so long
+		a.shard.observeLatency(ev.Latency) // either way it occupied the leaf for this long
 	}
 	if s.OK {
-		m.times.observe(ev.Latency, now)
+		m.latency.observe(ev.Latency, now)
 	}
 }
 
-// serveLeaf serves the shards of a leaf that has room again, each first in turn.
+// serveLeaf serves the shards of a leaf that has room again, each of them first in turn.
 func (m *Machine) serveLeaf(l *leaf, now time.Time) {
 	n := len(l.shards)
 	if n == 0 {
 		return
 	}
-	l.next = (l.next + 1) % n
+	l.firstShard = (l.firstShard + 1) % n
 	for i := range n {
-		m.serve(l.shards[(l.next+i)%n], now)
+		m.serve(l.shards[(l.firstShard+i)%n], now)
 	}
 }
 
-// tick serves the shards that no reply will wake, such as those whose leaves
-// were all ejected.
+// tick expires attempts and serves the stalled shards, such as those whose leaves were
+// all ejected: no reply would serve them.
 func (m *Machine) tick(now time.Time) {
-	m.wake = time.Time{}
+	m.wakeAt = time.Time{}
 	m.expire(now)
 	stalled := m.stalled
 	m.stalled = nil
@@ -241,12 +245,11 @@
 	}
 }
 
-// refuse answers that an attempt will not be dispatched.
 func (m *Machine) refuse(t Ticket, reason query.DeclineReason, after time.Duration) {
 	m.actions = append(m.actions, Refuse{Ticket: t, Reason: reason, RetryAfter: after})
 }
 
-// weight is the caller's share of a contended queue.
+// weight returns the caller's weight in the queues.
 func (m *Machine) weight(caller string) float64 {
 	if w, ok := m.weights[caller]; ok {
 		return w
@@ -254,7 +257,7 @@
 	return 1
 }
 
-// setWeights reads the callers' shares of a view.
+// setWeights takes the weights of the callers from their shares in the view.
 func (m *Machine) setWeights(v *view.View) {
 	m.weights = make(map[string]float64, len(v.Callers))
 	for _, c := range v.Callers {
--- a/kernel/dispatch/machine_test.go
+++ b/kernel/dispatch/machine_test.go
@@ -11,7 +11,7 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/query"
 )
 
-func TestNewNamesTheWrongField(t *testing.T) {
+func TestConfigErrorNamesField(t *testing.T) {
 	good := Policies{Routing: fakePolicy, Order: fakePolicy, Limit: fakePolicy}
 	v := testView(1, 1, 1, 1, 1)
 	for field, cfg := range map[string]Config{
@@ -28,18 +28,18 @@
 		}
 		var unknown *plugin.UnknownError
 		if cfg.View != nil && cfg.Upstream == 0 && !errors.As(err, &unknown) {
-			t.Errorf("error %v does not wrap the unknown plug-in", err)
+			t.Errorf("error %v does not wrap the UnknownError of the plug-in", err)
 		}
 	}
 }
 
-func TestOrderFollowsTheQueryStamp(t *testing.T) {
+func TestServiceOrderFollowsAdmissionStamp(t *testing.T) {
 	defer func() { fakeNewest = false }()
 	for newest, want := range map[bool]string{false: "[2 3 4]", true: "[4 3 2]"} {
 		fakeNewest = newest
 		m := newTestMachine(t, testView(1, 1, 1, 1, 1))
 		m.Handle(offered(1), start)
-		for _, q := range []int{3, 4, 2} { // offered out of the order of stamps
+		for _, q := range []int{3, 4, 2} { // not in the order of admission
 			m.Handle(offered(q), start)
 		}
 		var got []uint64
@@ -58,9 +58,9 @@
 	}
 }
 
-// TestCallersShareByWeight keeps both callers' queues full, one of them ten
-// times as long, and counts services.
-func TestCallersShareByWeight(t *testing.T) {
+// TestCallersAreServedByWeight keeps the queues of both callers full, one of them ten
+// times as long, and counts the services.
+func TestCallersAreServedByWeight(t *testing.T) {
 	m := newTestMachine(t, testView(1, 1, 1, 1, 3))
 	q := 0
 	caller := map[uint64]string{}
@@ -76,19 +76,19 @@
 	}
 	running := dispatched(offer("a", 1000))[0]
 	offer("b", 100)
-	served := map[string]int{"a": 1} // the running one
+	served := map[string]int{"a": 1} // the first, which runs
 	for range 79 {
 		running = dispatched(m.Handle(reply(int(running), 0), start))[0]
 		served[caller[running]]++
 	}
 	if served["a"] != 20 || served["b"] != 60 {
-		t.Fatalf("served %v of 80, want a 20 and b 60 by their shares 1 and 3", served)
+		t.Fatalf("served %v of 80, want 20 of a and 60 of b for their shares of 1 and 3", served)
 	}
 }
 
-func TestHopelessIsRefusedAtOnce(t *testing.T) {
+func TestAttemptThatMissesDeadlineIsRefused(t *testing.T) {
 	m := newTestMachine(t, testView(1, 1, 1, 1, 1))
-	// Sixty-four replies of 100 ms teach the machine what a reply takes.
+	// The machine learns the latency from 64 replies of 100 ms.
 	for q := range 64 {
 		m.Handle(offered(q), start)
 		m.Handle(reply(q, 100*time.Millisecond), start)
@@ -106,7 +106,7 @@
 		}
 	}
 	if wake.IsZero() || !wake.Before(start.Add(second-50*time.Millisecond)) {
-		t.Fatalf("wake-up at %v, want one well before the deadline", wake)
+		t.Fatalf("Tick requested at %v, want it well before the deadline", wake)
 	}
 	if r := refusal(m.Handle(Tick{}, wake.Add(-time.Millisecond))); r != nil {
 		t.Fatalf("refused %v too early", r)
@@ -114,10 +114,10 @@
 	wantRefused(t, m.Handle(Tick{}, wake), query.ReasonDeadline)
 }
 
-// TestSlowPastDoesNotLockOut has replies of 500 ms, and then a service whose
-// deadline is 200 ms: if the past refused it for ever, no reply could show
-// that the upstream is fast again.
-func TestSlowPastDoesNotLockOut(t *testing.T) {
+// TestStaleLatencyRefusesNothing observes replies of 500 ms and then, after a silence,
+// offers attempts with 200 ms left. If the old latency refused them for ever, no reply
+// could show that the upstream is fast again.
+func TestStaleLatencyRefusesNothing(t *testing.T) {
 	m := newTestMachine(t, testView(1, 1, 1, 1, 1))
 	for q := range 200 {
 		m.Handle(offered(q), start)
@@ -129,8 +129,8 @@
 		o.Deadline = now.Add(200 * time.Millisecond)
 		return o
 	}
-	if fit, total, _ := m.CountServableShards("a", 0, 200*time.Millisecond, 0); fit != total {
-		t.Fatalf("%d of %d shards fit although nothing runs", fit, total)
+	if servable, total, _ := m.CountServableShards("a", 0, 200*time.Millisecond, 0); servable != total {
+		t.Fatalf("%d of %d shards are servable although none has work", servable, total)
 	}
 	for q := 1000; q < 1064; q++ {
 		if d := dispatched(m.Handle(short(q), now)); len(d) != 1 {
@@ -140,12 +140,12 @@
 		m.Handle(reply(q, 10*time.Millisecond), now)
 	}
 	if e := m.Estimate(now); e.Median < 9*time.Millisecond || e.Median > 11*time.Millisecond {
-		t.Fatalf("median %v after fast replies, want theirs", e.Median)
+		t.Fatalf("median %v after fast replies, want their latency", e.Median)
 	}
 }
 
-// TestTimeoutsCountAsSlow has an upstream that answers nothing in time.
-func TestTimeoutsCountAsSlow(t *testing.T) {
+// TestTimeoutsRaiseEstimatedWait has an upstream whose attempts all time out.
+func TestTimeoutsRaiseEstimatedWait(t *testing.T) {
 	m := newTestMachine(t, testView(1, 1, 1, 1, 1))
 	for q := range 10 {
 		m.Handle(offered(q), start)
@@ -156,36 +156,36 @@
 	m.Handle(offered(100), start)
 	m.Handle(offered(101), start)
 	if e := m.Estimate(start); e.Wait != 200*time.Millisecond {
-		t.Fatalf("wait %v behind work that times out after 200 ms", e.Wait)
+		t.Fatalf("estimated wait %v behind an attempt that times out after 200 ms", e.Wait)
 	}
 }
 
-func TestLongQueueIsRefusedWithADelay(t *testing.T) {
+func TestLongQueueRefusesWithRetryAfter(t *testing.T) {
 	m := newTestMachine(t, testView(1, 1, 1, 1, 1))
 	m.Handle(offered(0), start)
 	for q := range 64 {
 		m.Handle(reply(q, 100*time.Millisecond), start)
 		m.Handle(offered(q+1), start)
 	}
-	accepted := 0
+	queued := 0
 	for q := 100; q < 150; q++ {
 		r := refusal(m.Handle(offered(q), start))
 		if r == nil {
-			accepted++
+			queued++
 			continue
 		}
 		if r.Reason != query.ReasonOverloaded || r.RetryAfter < 500*time.Millisecond {
-			t.Fatalf("refusal %+v, want overloaded with the time of the backlog", r)
+			t.Fatalf("refusal %+v, want overloaded with the time in which the queue drains", r)
 		}
 		break
 	}
-	// A second holds ten services of 100 ms, one of which is running.
-	if accepted < 6 || accepted > 10 {
-		t.Fatalf("accepted %d waiting attempts, want about 9", accepted)
+	// Ten services of 100 ms fit into the second, one of which is running.
+	if queued < 6 || queued > 10 {
+		t.Fatalf("%d attempts queued, want about 9", queued)
 	}
 }
 
-func TestSoloRunsAlone(t *testing.T) {
+func TestSoloAttemptRunsAlone(t *testing.T) {
 	m := newTestMachine(t, testView(1, 1, 3, 1, 1))
 	m.Handle(offered(1), start)
 	solo := offered(2)
@@ -194,7 +194,7 @@
 		t.Fatalf("dispatched %v beside another attempt", d)
 	}
 	if d := dispatched(m.Handle(offered(3), start)); len(d) != 0 {
-		t.Fatalf("dispatched %v on a leaf that is kept for a solo attempt", d)
+		t.Fatalf("dispatched %v on a leaf that a solo attempt has reserved", d)
 	}
 	if d := dispatched(m.Handle(reply(1, 0), start)); !slices.Equal(d, []uint64{2}) {
 		t.Fatalf("dispatched %v, want the solo attempt alone", d)
@@ -203,11 +203,11 @@
 		t.Fatalf("dispatched %v beside a solo attempt", d)
 	}
 	if d := dispatched(m.Handle(reply(2, 0), start)); !slices.Equal(d, []uint64{3, 4}) {
-		t.Fatalf("dispatched %v, want what waited", d)
+		t.Fatalf("dispatched %v, want the queued attempts", d)
 	}
 }
 
-func TestWithdrawnSoloFreesItsLeaf(t *testing.T) {
+func TestWithdrawnSoloAttemptReleasesLeaf(t *testing.T) {
 	m := newTestMachine(t, testView(1, 1, 3, 1, 1))
 	m.Handle(offered(1), start)
 	solo := offered(2)
@@ -215,11 +215,11 @@
 	m.Handle(solo, start)
 	m.Handle(offered(3), start)
 	if d := dispatched(m.Handle(Withdrawn{Ticket: ticket(2)}, start)); !slices.Equal(d, []uint64{3}) {
-		t.Fatalf("dispatched %v, want what waited behind the solo attempt", d)
+		t.Fatalf("dispatched %v, want the attempt queued behind the solo one", d)
 	}
 }
 
-func TestIdleCallerEarnsNoCredit(t *testing.T) {
+func TestIdleCallerGainsNoCredit(t *testing.T) {
 	m := newTestMachine(t, testView(1, 1, 1, 1, 1))
 	q := 0
 	offer := func(name string) []uint64 {
@@ -229,7 +229,7 @@
 		return dispatched(m.Handle(o, start))
 	}
 	running := offer("a")[0]
-	for range 50 { // a is served alone for a while
+	for range 50 { // only a is served
 		offer("a")
 		running = dispatched(m.Handle(reply(int(running), 0), start))[0]
 	}
@@ -252,20 +252,20 @@
 	}
 }
 
-func TestRepeatedEndIsIgnored(t *testing.T) {
+func TestRepeatedFinishedIsIgnored(t *testing.T) {
 	m := newTestMachine(t, testView(1, 1, 1, 1, 1))
 	m.Handle(offered(1), start)
 	m.Handle(reply(1, 0), start)
 	m.Handle(reply(1, 0), start)
 	m.Handle(offered(2), start)
 	if d := dispatched(m.Handle(offered(3), start)); len(d) != 0 {
-		t.Fatalf("dispatched %v beyond the limit after a repeated end", d)
+		t.Fatalf("dispatched %v beyond the limit after a repeated Finished", d)
 	}
 }
 
-// TestSlotGoesToWorkThatCanFinish has replies of 10 or 100 ms, two in three
-// the longer: while others wait, an attempt with 50 ms left is given up.
-func TestSlotGoesToWorkThatCanFinish(t *testing.T) {
+// TestSlotGoesToAttemptThatCanFinish has replies of 10 ms and, two in three, of 100 ms:
+// while other attempts are queued, one with 50 ms left is refused.
+func TestSlotGoesToAttemptThatCanFinish(t *testing.T) {
 	m := newTestMachine(t, testView(1, 1, 1, 1, 1))
 	for q := range 64 {
 		m.Handle(offered(q), start)
@@ -288,7 +288,7 @@
 	}
 }
 
-func TestHedgeAvoidsTheFirstLeaf(t *testing.T) {
+func TestHedgeUsesAnotherLeaf(t *testing.T) {
 	m := newTestMachine(t, testView(1, 2, 2, 1, 1))
 	first := m.Handle(offered(1), start)[0].(Dispatch)
 	h := offered(1)
@@ -303,12 +303,13 @@
 	r := offered(1)
 	r.Ticket.Attempt, r.Retry, r.Avoid = 4, true, []int{first.Leaf, second.Leaf}
 	if d := dispatched(m.Handle(r, start)); len(d) != 1 {
-		t.Fatalf("a retry with all leaves used was not dispatched")
+		t.Fatalf("a retry that avoids all leaves was not dispatched")
 	}
 }
 
-// TestHedgeStopsNearCapacity has a queue that takes longer than a reply.
-func TestHedgeStopsNearCapacity(t *testing.T) {
+// TestHedgeIsRefusedNearCapacity has a queue that takes longer to drain than a reply
+// takes.
+func TestHedgeIsRefusedNearCapacity(t *testing.T) {
 	m := newTestMachine(t, testView(1, 2, 1, 1, 1))
 	for q := range 64 {
 		m.Handle(offered(q), start)
@@ -319,7 +320,7 @@
 	h := offered(100)
 	h.Ticket.Attempt, h.Hedge, h.Avoid = 2, true, []int{first.Leaf}
 	if r := refusal(m.Handle(h, start)); r != nil {
-		t.Fatalf("%v: a hedge may wait for a busy leaf when nothing else does", r)
+		t.Fatalf("%v: want the hedge queued for a busy leaf while the queue is short", r)
 	}
 	for q := range 10 {
 		m.Handle(offered(200+q), start)
@@ -328,7 +329,7 @@
 	wantRefused(t, m.Handle(h, start), query.ReasonOverloaded)
 }
 
-func TestEjectionTakesABoundedShare(t *testing.T) {
+func TestEjectedLeavesAreUsedWhenTooFewRemain(t *testing.T) {
 	defer clear(fakeEjected)
 	m := newTestMachine(t, testView(1, 2, 1, 1, 1))
 	fakeEjected[0] = true
@@ -339,37 +340,37 @@
 	if got := dispatched(m.Handle(offered(2), start)); len(got) != 0 {
 		t.Fatalf("dispatched %v to an ejected leaf", got)
 	}
-	fakeEjected[1] = true // all: the bound uses them again
+	fakeEjected[1] = true // with all ejected, all are used
 	if got := dispatched(m.Handle(offered(3), start)); !slices.Equal(got, []uint64{2}) {
-		t.Fatalf("dispatched %v, want work to go on when all are ejected", got)
+		t.Fatalf("dispatched %v, want dispatches to go on when all are ejected", got)
 	}
 }
 
-// TestStalledShardIsPolled has no running attempt whose end would serve what
-// waits for an ejected leaf.
+// TestStalledShardIsPolled queues an attempt for an ejected leaf while no attempt runs
+// whose end would serve it.
 func TestStalledShardIsPolled(t *testing.T) {
 	defer clear(fakeEjected)
 	m := newTestMachine(t, testView(1, 2, 1, 1, 1))
 	fakeEjected[0] = true
 	h := offered(1)
-	h.Hedge, h.Avoid = true, []int{1} // only the ejected leaf is left
+	h.Hedge, h.Avoid = true, []int{1} // only the ejected leaf remains
 	actions := m.Handle(h, start)
 	if len(actions) != 1 || actions[0] != (WakeAt{At: start.Add(pollInterval)}) {
-		t.Fatalf("actions %v, want a wake-up soon", actions)
+		t.Fatalf("actions %v, want a Tick requested after pollInterval", actions)
 	}
 	now := start.Add(pollInterval)
 	if actions = m.Handle(Tick{}, now); len(actions) != 1 || actions[0] != (WakeAt{At: now.Add(pollInterval)}) {
-		t.Fatalf("actions %v, want another wake-up", actions)
+		t.Fatalf("actions %v, want another Tick requested", actions)
 	}
 	clear(fakeEjected)
 	if d := dispatched(m.Handle(Tick{}, now.Add(pollInterval))); len(d) != 1 {
-		t.Fatalf("dispatched %v when the ejection had ended", d)
+		t.Fatalf("dispatched %v after the ejection ended", d)
 	}
 }
 
-// TestRunningAttemptTeachesTheNewView checks that replies of attempts from
-// before a change of view still count.
-func TestRunningAttemptTeachesTheNewView(t *testing.T) {
+// TestReplyAfterViewChangeIsObserved checks that replies of attempts dispatched before a
+// change of the view still count.
+func TestReplyAfterViewChangeIsObserved(t *testing.T) {
 	m := newTestMachine(t, testView(1, 1, 1, 1, 1))
 	m.Handle(offered(1), start)
 	m.Handle(ViewChanged{View: testView(1, 1, 1, 1, 1)}, start)
@@ -381,29 +382,29 @@
 	}
 }
 
-func TestLeavingLeafGetsNoNewWork(t *testing.T) {
+func TestLeavingLeafGetsNoNewAttempts(t *testing.T) {
 	v := testView(1, 2, 1, 1, 1)
 	m := newTestMachine(t, v)
 	m.Handle(offered(1), start)
 	v2 := testView(1, 2, 1, 1, 1)
 	v2.Leaves[0].Leaving, v2.Leaves[1].Leaving = true, true
 	m.Handle(offered(2), start)
-	m.Handle(offered(3), start) // waits
+	m.Handle(offered(3), start) // queued
 	wantRefused(t, m.Handle(ViewChanged{View: v2}, start), query.ReasonNoLeaf)
 	if d := dispatched(m.Handle(reply(1, 0), start)); len(d) != 0 {
 		t.Fatalf("dispatched %v to a leaving leaf", d)
 	}
 	wantRefused(t, m.Handle(offered(4), start), query.ReasonNoLeaf)
-	// It comes back: running attempts from before still end properly.
+	// The leaves come back; attempts dispatched before still end.
 	m.Handle(ViewChanged{View: v}, start)
 	m.Handle(reply(2, 0), start)
 	m.Handle(offered(5), start)
 	if got := dispatched(m.Handle(offered(6), start)); len(got) != 1 {
-		t.Fatalf("dispatched %v, want both leaves free again", got)
+		t.Fatalf("dispatched %v, want both leaves idle again", got)
 	}
 }
 
-func TestRepartitionedShardIsRefused(t *testing.T) {
+func TestAttemptsOfRepartitionedShardAreRefused(t *testing.T) {
 	m := newTestMachine(t, testView(2, 1, 1, 1, 1))
 	m.Handle(offered(1), start)
 	m.Handle(offered(2), start)
@@ -412,7 +413,7 @@
 	m.Handle(o, start)
 	o.Ticket = ticket(4)
 	m.Handle(o, start)
-	// The second shard's range is now split; the first one's is the same.
+	// The range of the second shard changes; that of the first one stays.
 	v := testView(2, 1, 1, 1, 1)
 	v.Upstreams[0].Shards[1].Range.To = 3
 	actions := m.Handle(ViewChanged{View: v}, start)
@@ -421,7 +422,7 @@
 		t.Fatalf("actions %v, want query 4 alone refused", actions)
 	}
 	if d := dispatched(m.Handle(reply(1, 0), start)); !slices.Equal(d, []uint64{2}) {
-		t.Fatalf("dispatched %v, want the waiting attempt of the unchanged shard", d)
+		t.Fatalf("dispatched %v, want the queued attempt of the unchanged shard", d)
 	}
 	o.Ticket = ticket(5)
 	m.Handle(o, start)
--- a/kernel/dispatch/messages.go
+++ b/kernel/dispatch/messages.go
@@ -1,6 +1,7 @@
-// Package dispatch decides which attempt runs on which leaf and when: queues
-// per shard, limits in flight per leaf, leaf choice, and the refusal of what
-// can't finish. One machine serves one upstream at one entry.
+// Package dispatch queues the attempts of queries and decides when each one runs and on
+// which leaf. It keeps a queue per shard and a concurrency limit per leaf, refuses
+// attempts that can't finish by their deadline, and decides on the admission of whole
+// queries. One Machine serves one upstream at one instance.
 package dispatch
 
 import (
@@ -11,32 +12,33 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/view"
 )
 
-// Ticket names an offered attempt within the entry: query stamp and attempt.
+// Ticket identifies an attempt that was offered to the machine, within the instance.
 type Ticket struct {
-	Query   uint64 // admission stamp of the query: one order for all its parts
+	Query   uint64 // admission stamp of the query, unique and increasing; it orders all its parts alike
 	Attempt query.AttemptID
 }
 
-// Event is an input of the machine.
+// Event is an input of the Machine.
 type Event interface{ isEvent() }
 
-// Offered queues an attempt.
+// Offered offers an attempt, which is queued or refused.
 type Offered struct {
 	Ticket   Ticket
 	Shard    int
 	Caller   string
-	Priority int // of its service, 0 is the most urgent
+	Priority int // of the service; 0 is the most urgent
 	Deadline time.Time
-	// Due is when the answer has its full value; zero: until the deadline.
+	// Due is the time of the objective, until which the answer has its full value. The
+	// zero value means the deadline.
 	Due   time.Time
-	Avoid []int // view indexes of leaves
+	Avoid []int // leaves not to use, by their indexes in the view
 	Hedge bool
 	Retry bool
-	Solo  bool
+	Solo  bool // needs a leaf on which no other attempt runs
 }
 
-// Withdrawn takes back a queued attempt; for a running one the runtime cancels
-// the exchange and reports Finished with OutcomeCancelled.
+// Withdrawn removes a queued attempt. For a running one the code that drives the machine
+// cancels the exchange and reports Finished with OutcomeCancelled.
 type Withdrawn struct{ Ticket Ticket }
 
 // Finished reports the end of a dispatched attempt.
@@ -45,23 +47,25 @@
 	Leaf        int
 	Outcome     Outcome
 	Latency     time.Duration // from dispatch to the end
-	ServiceTime time.Duration // the leaf's own run time, 0 when it did not say
+	ServiceTime time.Duration // as reported by the leaf, 0 when it reported none
 }
 
-// ViewChanged gives a new view; running attempts keep their leaf by ID.
+// ViewChanged installs a new view. Running attempts keep their leaf, which is identified
+// by its ID.
 type ViewChanged struct{ View *view.View }
 
-// LoadHint is what a leaf's load endpoint said; it may lie or lag.
+// LoadHint is the reply of a leaf's load endpoint, which may be wrong or out of date.
 type LoadHint struct {
 	Leaf     int
 	InFlight int
 	Queued   int
 }
 
-// SlowLeavesReported passes on what other instances saw of leaves, by their IDs.
+// SlowLeavesReported carries the leaves that other instances found slow.
 type SlowLeavesReported struct{ Leaves []slowness.SlowLeaf }
 
-// Tick lets time-driven work happen (expiry, probing).
+// Tick makes the machine do what is due by time: expire attempts and retry stalled
+// shards.
 type Tick struct{}
 
 func (Offered) isEvent()            {}
@@ -77,28 +81,28 @@
 
 // The outcomes of a dispatched attempt.
 const (
-	OutcomeReply      Outcome = iota // a whole reply
-	OutcomeShed                      // declined: overloaded
-	OutcomeDeclined                  // declined for another reason
-	OutcomeDialFailed                // no connection
-	OutcomeBroken                    // broke after it was sent
-	OutcomeTimeout                   // deadline passed while it ran
+	OutcomeReply      Outcome = iota // a complete reply
+	OutcomeShed                      // declined by the leaf as overloaded
+	OutcomeDeclined                  // declined by the leaf for another reason
+	OutcomeDialFailed                // no connection could be opened
+	OutcomeBroken                    // the connection broke after the request was sent
+	OutcomeTimeout                   // the deadline passed while it ran
 	OutcomeCancelled                 // withdrawn while it ran
 )
 
-// Action is an output of the machine.
+// Action is an output of the Machine.
 type Action interface{ isAction() }
 
-// Dispatch runs an attempt on a leaf now.
+// Dispatch asks for an attempt to be sent to a leaf at once.
 type Dispatch struct {
 	Ticket    Ticket
 	Shard     int
 	Leaf      int
-	QueueTime time.Duration // how long it waited
-	Reason    string        // short reason of the choice, for the decision log
+	QueueTime time.Duration // time between offer and dispatch
+	Reason    string        // why the routing policy chose the leaf, for the decision log
 }
 
-// Refuse says that an attempt will not be dispatched. It never ran.
+// Refuse reports that an attempt is not dispatched. It has run nowhere.
 type Refuse struct {
 	Ticket     Ticket
 	Reason     query.DeclineReason
--- a/kernel/dispatch/precedence_test.go
+++ b/kernel/dispatch/priority_admission_test.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// TestLessUrgentYields refuses half of the urgent queries: of the less urgent ones, which
-// would all fit, no greater share is taken in, and all of them again once no urgent one
-// has been refused for a moment.
-func TestLessUrgentYields(t *testing.T) {
+// TestLessUrgentQueriesYield refuses half of the urgent queries. No greater share of the
+// less urgent ones is admitted, though all would fit; all are admitted again when no
+// urgent one was refused recently.
+func TestLessUrgentQueriesYield(t *testing.T) {
 	m := newTestMachine(t, testView(1, 1, 1, 1, 1))
 	now := start
-	taken := 0
-	ask := func() bool {
+	admitted := 0
+	submit := func() bool {
 		yields := m.ShouldYield(2, now)
 		m.RecordDecision(2, !yields, now)
 		return !yields
@@ -20,22 +20,22 @@
 	const queries = 200
 	for i := range queries {
 		m.RecordDecision(1, i%2 == 0, now)
-		if ask() {
-			taken++
+		if submit() {
+			admitted++
 		}
 		now = now.Add(10 * time.Millisecond)
 	}
-	if share := float64(taken) / queries; share < 0.45 || share > 0.55 {
-		t.Errorf("%.2f of the less urgent queries taken in beside 0.5 of the urgent ones", share)
+	if share := float64(admitted) / queries; share < 0.45 || share > 0.55 {
+		t.Errorf("%.2f of the less urgent queries admitted, want 0.5 as of the urgent ones", share)
 	}
-	now = now.Add(precedenceLasts + time.Millisecond)
-	if !ask() {
+	now = now.Add(yieldDuration + time.Millisecond)
+	if !submit() {
 		t.Error("a less urgent query yields though no urgent one is refused")
 	}
 }
 
-// TestUrgentNeverYields refuses all of the less urgent queries.
-func TestUrgentNeverYields(t *testing.T) {
+// TestUrgentQueriesNeverYield refuses all of the less urgent queries.
+func TestUrgentQueriesNeverYield(t *testing.T) {
 	m := newTestMachine(t, testView(1, 1, 1, 1, 1))
 	for range 100 {
 		m.RecordDecision(2, false, start)
@@ -46,8 +46,8 @@
 	}
 }
 
-// TestFewQueriesYieldToNobody asks too seldom for a share to say anything.
-func TestFewQueriesYieldToNobody(t *testing.T) {
+// TestFewRefusalsMakeNoneYield refuses too few queries for their share to mean anything.
+func TestFewRefusalsMakeNoneYield(t *testing.T) {
 	m := newTestMachine(t, testView(1, 1, 1, 1, 1))
 	m.RecordDecision(0, false, start)
 	if m.ShouldYield(1, start) {
--- a/kernel/dispatch/property_test.go
+++ b/kernel/dispatch/property_test.go
@@ -11,32 +11,33 @@
 	"pgregory.net/rapid"
 )
 
-// model checks every action of a machine against what may be.
+// model tracks the offered attempts and checks every action of a machine against the
+// invariants.
 type model struct {
 	t        *rapid.T
 	v        *view.View
 	now      time.Time
 	offers   map[Ticket]Offered
-	ended    map[Ticket]bool // refused or withdrawn while queued
+	ended    map[Ticket]bool // refused, finished, or withdrawn while queued
 	running  map[Ticket]Dispatch
 	inFlight map[int]int
 }
 
-// take checks a batch of actions.
-func (c *model) take(actions []Action) {
+// check checks the actions of one event.
+func (c *model) check(actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Dispatch:
-			c.dispatched(a)
+			c.checkDispatch(a)
 		case Refuse:
-			c.fresh(a.Ticket)
+			c.mustBePending(a.Ticket)
 			c.ended[a.Ticket] = true
 		}
 	}
 }
 
-// fresh checks that the ticket was offered and has had no end yet.
-func (c *model) fresh(t Ticket) {
+// mustBePending fails unless the ticket was offered and neither runs nor has ended.
+func (c *model) mustBePending(t Ticket) {
 	if _, ok := c.offers[t]; !ok {
 		c.t.Fatalf("action for %v, which was not offered", t)
 	}
@@ -45,8 +46,8 @@
 	}
 }
 
-func (c *model) dispatched(a Dispatch) {
-	c.fresh(a.Ticket)
+func (c *model) checkDispatch(a Dispatch) {
+	c.mustBePending(a.Ticket)
 	o := c.offers[a.Ticket]
 	leaf := c.v.Leaves[a.Leaf]
 	c.inFlight[a.Leaf]++
@@ -74,8 +75,9 @@
 	c.running[a.Ticket] = a
 }
 
-// TestEveryAttemptEndsOnceWithinLimits drives random events: no ticket has two
-// ends or is lost, and limits, leaving leaves, solo and avoided leaves hold.
+// TestEveryAttemptEndsOnceWithinLimits drives random events. No attempt ends twice or is
+// lost, and connection limits, leaving leaves, solo attempts and avoided leaves are
+// respected.
 func TestEveryAttemptEndsOnceWithinLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		shards := rapid.IntRange(1, 3).Draw(t, "shards")
@@ -93,7 +95,7 @@
 			c.ended[ticket] = true
 			c.inFlight[d.Leaf]--
 			outcome := Outcome(rapid.IntRange(0, int(OutcomeCancelled)).Draw(t, "outcome"))
-			c.take(m.Handle(Finished{
+			c.check(m.Handle(Finished{
 				Ticket: ticket, Leaf: d.Leaf, Outcome: outcome,
 				Latency: time.Duration(rapid.IntRange(1, 30).Draw(t, "latency")) * time.Millisecond,
 			}, c.now))
@@ -118,7 +120,7 @@
 				}
 			}
 			c.offers[o.Ticket] = o
-			c.take(m.Handle(o, c.now))
+			c.check(m.Handle(o, c.now))
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"offer":  offer,
@@ -132,13 +134,13 @@
 			"withdraw": func(t *rapid.T) {
 				for _, ticket := range sorted(m.waiting) {
 					c.ended[ticket] = true
-					c.take(m.Handle(Withdrawn{Ticket: ticket}, c.now))
+					c.check(m.Handle(Withdrawn{Ticket: ticket}, c.now))
 					return
 				}
 			},
 			"pass": func(t *rapid.T) {
 				c.now = c.now.Add(time.Duration(rapid.IntRange(0, 20).Draw(t, "time")) * time.Millisecond)
-				c.take(m.Handle(Tick{}, c.now))
+				c.check(m.Handle(Tick{}, c.now))
 			},
 			"leave": func(t *rapid.T) {
 				next := *v
@@ -147,7 +149,7 @@
 				next.Leaves[i].Leaving = !next.Leaves[i].Leaving
 				next.Leaves[i].Connections = rapid.IntRange(0, 3).Draw(t, "share")
 				v, c.v = &next, &next
-				c.take(m.Handle(ViewChanged{View: v}, c.now))
+				c.check(m.Handle(ViewChanged{View: v}, c.now))
 			},
 			"repartition": func(t *rapid.T) {
 				next := *v
@@ -156,12 +158,12 @@
 				i, j := rapid.IntRange(0, shards-1).Draw(t, "one"), rapid.IntRange(0, shards-1).Draw(t, "other")
 				if i == j {
 					up.Shards[i].Range.To++
-				} else { // the ranges change their places, and their leaves with them
+				} else { // two shards swap places, with their leaves
 					up.Shards[i], up.Shards[j] = up.Shards[j], up.Shards[i]
 				}
 				next.Upstreams = []view.Upstream{up}
 				v, c.v = &next, &next
-				c.take(m.Handle(ViewChanged{View: v}, c.now))
+				c.check(m.Handle(ViewChanged{View: v}, c.now))
 			},
 			"": func(t *rapid.T) {
 				for ticket := range c.offers {
@@ -170,14 +172,14 @@
 						t.Fatalf("%v is lost", ticket)
 					}
 				}
-				c.idle(m)
+				c.checkState(m)
 			},
 		})
 		for len(c.running) > 0 {
 			finish(sorted(c.running)[0])
 		}
 		c.now = c.now.Add(second)
-		c.take(m.Handle(Tick{}, c.now))
+		c.check(m.Handle(Tick{}, c.now))
 		for ticket := range c.offers {
 			if !c.ended[ticket] {
 				if _, running := c.running[ticket]; !running {
@@ -188,19 +190,20 @@
 	})
 }
 
-// idle checks that no attempt waits for a leaf that could take it.
-func (c *model) idle(m *Machine) {
+// checkState checks that the state of the machine agrees with the model, and that no
+// attempt is queued for a leaf that could take it.
+func (c *model) checkState(m *Machine) {
 	for ticket, r := range c.running {
 		if m.running[ticket] == nil {
-			c.t.Fatalf("%v runs on leaf %d and the machine forgot it", ticket, r.Leaf)
+			c.t.Fatalf("%v runs on leaf %d but is unknown to the machine", ticket, r.Leaf)
 		}
 	}
 	if len(m.expiry) != len(m.waiting) {
-		c.t.Fatalf("%d attempts may expire, %d wait", len(m.expiry), len(m.waiting))
+		c.t.Fatalf("%d attempts in the expiry heap, %d queued", len(m.expiry), len(m.waiting))
 	}
 	for _, l := range m.leaves {
 		if l.reserved != nil && !l.reserved.queued {
-			c.t.Fatalf("leaf %s is kept for %v, which does not wait", l.id, l.reserved.ticket)
+			c.t.Fatalf("leaf %s is reserved for %v, which is not queued", l.id, l.reserved.ticket)
 		}
 	}
 	for _, s := range m.shards {
@@ -208,25 +211,25 @@
 			continue
 		}
 		for _, q := range s.queue.active {
-			for _, r := range q.ranks {
-				c.checkWaits(m, s, r.items[:min(len(r.items), scanDepth)])
+			for _, class := range q.classes {
+				c.checkNoLeafFor(m, s, class.onTime[:min(len(class.onTime), scanDepth)])
 			}
 		}
 	}
 }
 
-// checkWaits fails when a leaf could take an attempt that waits.
-func (c *model) checkWaits(m *Machine, s *shard, waiting []*attempt) {
+// checkNoLeafFor fails if a leaf of the shard could take a queued attempt.
+func (c *model) checkNoLeafFor(m *Machine, s *shard, waiting []*attempt) {
 	for _, a := range waiting {
 		for _, l := range s.leaves {
-			if m.takes(l, a) {
-				c.t.Fatalf("%v waits although leaf %s could take it", a.ticket, l.id)
+			if m.canTake(l, a) {
+				c.t.Fatalf("%v is queued although leaf %s could take it", a.ticket, l.id)
 			}
 		}
 	}
 }
 
-// sorted returns the tickets in a fixed order.
+// sorted returns the tickets sorted by query.
 func sorted[V any](tickets map[Ticket]V) []Ticket {
 	return slices.SortedFunc(maps.Keys(tickets), func(a, b Ticket) int { return cmp.Compare(a.Query, b.Query) })
 }
--- a/kernel/dispatch/queue.go
+++ b/kernel/dispatch/queue.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// attempt is one offered attempt, queued or running.
+// attempt is an offered attempt, queued or running.
 type attempt struct {
 	ticket   Ticket
 	shard    *shard
@@ -20,63 +20,65 @@
 	leaf     *leaf // set while running
 	hedge    bool
 	solo     bool
-	// saturated is plugin.Sample.Saturated, noted at dispatch.
+	// saturated is plugin.Sample.Saturated, determined at dispatch.
 	saturated bool
 	queued    bool
-	late      bool // in rankQueue.late
-	place     int  // in the expiry heap
+	late      bool // in classQueue.late
+	heapIndex int  // in the expiry heap, or notInHeap
 }
 
 // avoids reports whether the attempt must not go to the leaf.
 func (a *attempt) avoids(l *leaf) bool { return slices.Contains(a.avoid, l) }
 
-// compare ranks attempts by their query's admission stamp, so that all parts
+// compareStamps orders attempts by the admission stamp of their query, so that all parts
 // of a query have the same rank in every queue.
-func compare(a, b *attempt) int {
+func compareStamps(a, b *attempt) int {
 	if c := cmp.Compare(a.ticket.Query, b.ticket.Query); c != 0 {
 		return c
 	}
 	return cmp.Compare(a.ticket.Attempt, b.ticket.Attempt)
 }
 
-// rankQueue is one caller's waiting attempts of one priority, oldest query first.
-type rankQueue struct {
+// classQueue holds one caller's queued attempts of one priority class, ordered by query,
+// oldest first.
+type classQueue struct {
 	priority int
-	// turn is the virtual time of the next service, as in callerQueue.
-	turn  float64
-	items []*attempt
-	// late are those whose answer can't have its full value any more. They get the
-	// slots that no other attempt of the shard waits for.
+	// startTag is the virtual time of the next service, as in callerQueue.
+	startTag float64
+	onTime   []*attempt
+	// late are the attempts that can't end by the objective. They get the slots that no
+	// other attempt of the shard waits for.
 	late []*attempt
 }
 
-// list is the attempts that can be in time, or the others.
-func (q *rankQueue) list(late bool) []*attempt {
+// attempts returns the late attempts or the others.
+func (q *classQueue) attempts(late bool) []*attempt {
 	if late {
 		return q.late
 	}
-	return q.items
+	return q.onTime
 }
 
-// demote moves the oldest attempts that can't be in time any more, and returns how
-// many. The attempts of a rank are due in the order of their queries, or nearly so.
-func (q *rankQueue) demote(tooLate func(*attempt) bool) int {
+// demote moves the oldest attempts that are too late to the late ones, and returns how
+// many. It stops at the first that is not, as the attempts of a class are due in the
+// order of their queries, or nearly so.
+func (q *classQueue) demote(tooLate func(*attempt) bool) int {
 	n := 0
-	for n < len(q.items) && tooLate(q.items[n]) {
-		a := q.items[n]
+	for n < len(q.onTime) && tooLate(q.onTime[n]) {
+		a := q.onTime[n]
 		a.late = true
-		i, _ := slices.BinarySearchFunc(q.late, a, compare)
+		i, _ := slices.BinarySearchFunc(q.late, a, compareStamps)
 		q.late = slices.Insert(q.late, i, a)
 		n++
 	}
-	q.items = slices.Delete(q.items, 0, n)
+	q.onTime = slices.Delete(q.onTime, 0, n)
 	return n
 }
 
-// remove takes out an attempt and reports whether it was there.
-func (q *rankQueue) remove(a *attempt) bool {
-	list := q.list(a.late)
-	i, ok := slices.BinarySearchFunc(list, a, compare)
+// remove removes an attempt and reports whether it was queued.
+func (q *classQueue) remove(a *attempt) bool {
+	list := q.attempts(a.late)
+	i, ok := slices.BinarySearchFunc(list, a, compareStamps)
 	if !ok {
 		return false
 	}
@@ -84,161 +86,163 @@
 	if a.late {
 		q.late = list
 	} else {
-		q.items = list
+		q.onTime = list
 	}
 	return true
 }
 
-// mostHalvings bounds how far a priority lowers the share of its queue.
-const mostHalvings = 10
+// maxHalvings bounds how often the share of a priority is halved.
+const maxHalvings = 10
 
-// cost is what one service moves the turn by: each rank halves the share, so that
-// what is less urgent waits longer under overload and is never left out.
-func (q *rankQueue) cost() float64 { return rankCost(q.priority) }
+// tagStep returns by how much one service advances the start tag. Each priority gets
+// half the share of the next more urgent one, so that less urgent work waits longer
+// under overload but is not starved.
+func (q *classQueue) tagStep() float64 { return classCost(q.priority) }
 
-// rankCost is the cost of one service of a priority.
-func rankCost(priority int) float64 { return float64(int(1) << min(max(priority, 0), mostHalvings)) }
+// classCost returns the virtual time that one service of a priority costs.
+func classCost(priority int) float64 { return float64(int(1) << min(max(priority, 0), maxHalvings)) }
 
-// at returns the i-th attempt of a list in the order of service.
-func at(list []*attempt, i int, newestFirst bool) *attempt {
+// attemptAt returns the i-th attempt of a list in the order of service.
+func attemptAt(list []*attempt, i int, newestFirst bool) *attempt {
 	if newestFirst {
 		return list[len(list)-1-i]
 	}
 	return list[i]
 }
 
-// callerQueue is one caller's waiting attempts for a shard, by priority.
+// callerQueue holds one caller's queued attempts for a shard, by priority.
 type callerQueue struct {
 	name   string
 	weight float64
-	// turn is the virtual time of the caller's next service: each service
-	// moves it by 1/weight, and the smallest turn goes next.
-	turn   float64
-	ranks  []*rankQueue // those with waiting attempts
-	idle   []*rankQueue // the others, which keep their turn
-	clock  float64      // virtual time of the last service among the ranks
-	length int
-	late   int // of them, how many are late
+	// startTag is the virtual time of the caller's next service, as in start-time fair
+	// queueing: each service advances it by 1/weight, and the caller with the smallest
+	// start tag is served next.
+	startTag    float64
+	classes     []*classQueue // with queued attempts
+	idleClasses []*classQueue // without; they keep their start tags
+	virtualTime float64       // of the last service among the classes
+	length      int
+	late        int // number of late attempts
 }
 
-// inTime is the number of attempts that can be in time.
-func (q *callerQueue) inTime() int { return q.length - q.late }
+// onTimeCount returns the number of attempts that are not late.
+func (q *callerQueue) onTimeCount() int { return q.length - q.late }
 
-// ahead is how many of the caller's attempts that can be in time are served before a
-// new one of a priority: its own rank's, and of each other rank as many as its share
-// gets meanwhile.
-func (q *callerQueue) ahead(priority int) float64 {
-	own, shares := 1.0, 1/rankCost(priority)
+// attemptsAhead returns how many of the caller's attempts are served up to and including
+// a new one of a priority: those of its own class, and of each other class as many as
+// that class's share gets meanwhile. Late attempts are not counted.
+func (q *callerQueue) attemptsAhead(priority int) float64 {
+	own, shares := 1.0, 1/classCost(priority)
 	all := 1.0
-	for _, r := range q.ranks {
-		n := float64(len(r.items))
+	for _, c := range q.classes {
+		n := float64(len(c.onTime))
 		all += n
-		if r.priority == priority {
+		if c.priority == priority {
 			own += n
 		} else if n > 0 {
-			shares += 1 / rankCost(r.priority)
+			shares += 1 / classCost(c.priority)
 		}
 	}
-	return min(own*shares*rankCost(priority), all)
+	return min(own*shares*classCost(priority), all)
 }
 
-// rank returns the queue of a priority and makes it one that waits.
-func (q *callerQueue) rank(priority int) *rankQueue {
-	is := func(r *rankQueue) bool { return r.priority == priority }
-	if i := slices.IndexFunc(q.ranks, is); i >= 0 {
-		return q.ranks[i]
+// class returns the queue of a priority and makes it an active one.
+func (q *callerQueue) class(priority int) *classQueue {
+	matches := func(c *classQueue) bool { return c.priority == priority }
+	if i := slices.IndexFunc(q.classes, matches); i >= 0 {
+		return q.classes[i]
 	}
-	r := &rankQueue{priority: priority}
-	if i := slices.IndexFunc(q.idle, is); i >= 0 {
-		r = q.idle[i]
-		q.idle = slices.Delete(q.idle, i, i+1)
+	c := &classQueue{priority: priority}
+	if i := slices.IndexFunc(q.idleClasses, matches); i >= 0 {
+		c = q.idleClasses[i]
+		q.idleClasses = slices.Delete(q.idleClasses, i, i+1)
 	}
-	r.turn = max(r.turn, q.clock) // an idle rank earns no credit for its absence
-	q.ranks = append(q.ranks, r)
-	return r
+	c.startTag = max(c.startTag, q.virtualTime) // an idle class earns no credit for its idle time
+	q.classes = append(q.classes, c)
+	return c
 }
 
 func (q *callerQueue) insert(a *attempt) {
-	r := q.rank(a.priority)
-	i, _ := slices.BinarySearchFunc(r.items, a, compare)
-	r.items = slices.Insert(r.items, i, a)
+	c := q.class(a.priority)
+	i, _ := slices.BinarySearchFunc(c.onTime, a, compareStamps)
+	c.onTime = slices.Insert(c.onTime, i, a)
 	a.late = false
 	q.length++
 }
 
 func (q *callerQueue) remove(a *attempt) {
-	at := slices.IndexFunc(q.ranks, func(r *rankQueue) bool { return r.priority == a.priority })
+	at := slices.IndexFunc(q.classes, func(c *classQueue) bool { return c.priority == a.priority })
 	if at < 0 {
 		return
 	}
-	r := q.ranks[at]
-	if !r.remove(a) {
+	c := q.classes[at]
+	if !c.remove(a) {
 		return
 	}
 	q.length--
 	if a.late {
 		q.late--
 	}
-	if len(r.items)+len(r.late) == 0 {
-		q.ranks = slices.Delete(q.ranks, at, at+1)
-		q.idle = append(q.idle, r)
+	if len(c.onTime)+len(c.late) == 0 {
+		q.classes = slices.Delete(q.classes, at, at+1)
+		q.idleClasses = append(q.idleClasses, c)
 	}
 }
 
-// charge counts one service of the attempt's priority.
+// charge advances the start tag of the attempt's class by one service.
 func (q *callerQueue) charge(a *attempt) {
-	r := q.rank(a.priority)
-	q.clock = max(q.clock, r.turn)
-	r.turn += r.cost()
+	c := q.class(a.priority)
+	q.virtualTime = max(q.virtualTime, c.startTag)
+	c.startTag += c.tagStep()
 }
 
-// inTurn orders the priorities that wait by their turn, the more urgent of equals
-// first, and returns them.
-func (q *callerQueue) inTurn() []*rankQueue {
-	if len(q.ranks) > 1 {
-		slices.SortStableFunc(q.ranks, func(a, b *rankQueue) int {
-			return cmp.Or(cmp.Compare(a.turn, b.turn), cmp.Compare(a.priority, b.priority))
+// byStartTag sorts the classes with queued attempts by their start tags, the more urgent
+// of equals first, and returns them.
+func (q *callerQueue) byStartTag() []*classQueue {
+	if len(q.classes) > 1 {
+		slices.SortStableFunc(q.classes, func(a, b *classQueue) int {
+			return cmp.Or(cmp.Compare(a.startTag, b.startTag), cmp.Compare(a.priority, b.priority))
 		})
 	}
-	return q.ranks
+	return q.classes
 }
 
-// all lists the waiting attempts.
+// all returns the queued attempts.
 func (q *callerQueue) all() []*attempt {
 	var out []*attempt
-	for _, r := range q.ranks {
-		out = append(out, r.items...)
-		out = append(out, r.late...)
+	for _, c := range q.classes {
+		out = append(out, c.onTime...)
+		out = append(out, c.late...)
 	}
 	return out
 }
 
-// fairQueue is a shard's waiting attempts, served fairly by caller weight
-// (start-time fair queueing), within a caller by priority and within a priority by
-// the admission stamp.
+// fairQueue holds a shard's queued attempts. Callers are served by start-time fair
+// queueing with their weights, the priorities of a caller likewise with the weights of
+// classCost, and the attempts of a priority by the admission stamp of their query.
 type fairQueue struct {
-	callers map[string]*callerQueue
-	active  []*callerQueue // callers with waiting attempts
-	turn    float64        // virtual time of the last service
-	length  int
-	late    int // of them, how many are late
+	callers     map[string]*callerQueue
+	active      []*callerQueue // callers with queued attempts
+	virtualTime float64        // of the last service
+	length      int
+	late        int // number of late attempts
 }
 
-// inTime is the number of attempts that can be in time.
-func (f *fairQueue) inTime() int { return f.length - f.late }
+// onTimeCount returns the number of attempts that are not late.
+func (f *fairQueue) onTimeCount() int { return f.length - f.late }
 
-// demote sets the attempts apart that can't be in time any more.
+// demote marks the attempts that are too late as late.
 func (f *fairQueue) demote(tooLate func(*attempt) bool) {
 	for _, q := range f.active {
-		for _, r := range q.ranks {
-			n := r.demote(tooLate)
+		for _, c := range q.classes {
+			n := c.demote(tooLate)
 			q.late += n
 			f.late += n
 		}
 	}
 }
 
-// push adds an attempt of a caller with the given weight.
+// push queues an attempt of a caller with the given weight.
 func (f *fairQueue) push(a *attempt, weight float64) {
 	q := f.callers[a.caller]
 	if q == nil {
@@ -247,8 +251,8 @@
 	}
 	q.weight = weight
 	if q.length == 0 {
-		// An idle caller earns no credit for its absence.
-		q.turn = max(q.turn, f.turn)
+		// An idle caller earns no credit for its idle time.
+		q.startTag = max(q.startTag, f.virtualTime)
 		f.active = append(f.active, q)
 	}
 	q.insert(a)
@@ -256,7 +260,7 @@
 	a.queued = true
 }
 
-// remove takes out an attempt without charging its caller.
+// remove removes an attempt without charging its caller.
 func (f *fairQueue) remove(a *attempt) {
 	q := f.callers[a.caller]
 	q.remove(a)
@@ -270,35 +274,37 @@
 	}
 }
 
-// serve takes out an attempt and charges its caller one service.
+// serve removes an attempt and charges its caller one service.
 func (f *fairQueue) serve(a *attempt) {
 	q := f.callers[a.caller]
-	f.turn = max(f.turn, q.turn)
-	q.turn += 1 / q.weight
+	f.virtualTime = max(f.virtualTime, q.startTag)
+	q.startTag += 1 / q.weight
 	q.charge(a)
 	f.remove(a)
 }
 
-// inTurn orders the active callers by their turn and returns them.
-func (f *fairQueue) inTurn() []*callerQueue {
+// byStartTag sorts the callers with queued attempts by their start tags and returns
+// them.
+func (f *fairQueue) byStartTag() []*callerQueue {
 	if len(f.active) > 1 {
-		slices.SortStableFunc(f.active, func(a, b *callerQueue) int { return cmp.Compare(a.turn, b.turn) })
+		slices.SortStableFunc(f.active, func(a, b *callerQueue) int { return cmp.Compare(a.startTag, b.startTag) })
 	}
 	return f.active
 }
 
-// oldest returns the largest share of its time that a caller's oldest query
-// has waited which can be in time, 0 for an empty queue.
-func (f *fairQueue) oldest(now time.Time) float64 {
+// maxWaitedShare returns the greatest share of its time until the objective that an
+// attempt has waited, over the oldest attempts of all classes that are not late; 0 for
+// an empty queue.
+func (f *fairQueue) maxWaitedShare(now time.Time) float64 {
 	share := 0.0
 	for _, q := range f.active {
-		for _, r := range q.ranks {
-			if len(r.items) == 0 {
+		for _, c := range q.classes {
+			if len(c.onTime) == 0 {
 				continue
 			}
-			a := r.items[0]
-			if all := a.due.Sub(a.offered); all > 0 {
-				share = max(share, float64(now.Sub(a.offered))/float64(all))
+			a := c.onTime[0]
+			if total := a.due.Sub(a.offered); total > 0 {
+				share = max(share, float64(now.Sub(a.offered))/float64(total))
 			}
 		}
 	}
--- a/kernel/dispatch/bounds_test.go
+++ b/kernel/dispatch/queue_bound_test.go
@@ -6,11 +6,11 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/query"
 )
 
-// TestQueueIsBounded offers more than may wait: what is over the bound is
-// refused that moment, and taken again once there is room.
+// TestQueueIsBounded checks that an attempt over the bound is refused at once, and that
+// attempts are queued again when there is room.
 func TestQueueIsBounded(t *testing.T) {
 	m := newTestMachine(t, testView(1, 1, 1, 1, 1))
-	m.queueBound = 2
+	m.maxQueued = 2
 	refusals := func(actions []Action) (n int) {
 		for _, a := range actions {
 			if r, ok := a.(Refuse); ok && r.Reason == query.ReasonOverloaded {
--- a/kernel/dispatch/queue_test.go
+++ b/kernel/dispatch/queue_test.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// TestPrioritiesShare keeps the queues of three priorities of one caller full, the
-// least urgent one ten times as long, and counts services: each rank gets half of
-// what the next more urgent one gets, and none is left out. A second caller with the
-// same share gets as much as all of them.
-func TestPrioritiesShare(t *testing.T) {
+// TestPrioritiesShareService keeps the queues of three priorities of one caller full,
+// the least urgent one ten times as long, and counts the services. Each priority gets
+// half as many as the next more urgent one, and none is starved. A second caller with
+// the same share gets as many as all of them.
+func TestPrioritiesShareService(t *testing.T) {
 	m := newTestMachine(t, testView(1, 1, 1, 1, 1))
 	q := 0
-	kind := map[uint64]string{}
+	class := map[uint64]string{}
 	offer := func(caller string, priority, n int) (actions []Action) {
 		for range n {
 			q++
 			o := offered(q)
 			o.Caller, o.Priority = caller, priority
-			kind[uint64(q)] = fmt.Sprint(caller, priority)
+			class[uint64(q)] = fmt.Sprint(caller, priority)
 			actions = append(actions, m.Handle(o, start)...)
 		}
 		return actions
@@ -29,10 +29,10 @@
 	offer("a", 0, 100)
 	offer("a", 1, 100)
 	offer("b", 1, 100)
-	served := map[string]int{"a2": 1} // the running one
+	served := map[string]int{"a2": 1} // the first, which runs
 	for range 139 {
 		running = dispatched(m.Handle(reply(int(running), 0), start))[0]
-		served[kind[running]]++
+		served[class[running]]++
 	}
 	want := map[string]int{"a0": 40, "a1": 20, "a2": 10, "b1": 70}
 	for name, n := range want {
@@ -43,10 +43,10 @@
 	}
 }
 
-// TestLateWorkYields lets attempts wait until those that came first can't be in time any
-// more: whoever still can goes before them, the ranks in turn, and they are served when
-// nobody else waits.
-func TestLateWorkYields(t *testing.T) {
+// TestLateAttemptsYield queues attempts until the first ones can't end by the objective.
+// The others are served before them, by priority, and the late ones when no other is
+// queued.
+func TestLateAttemptsYield(t *testing.T) {
 	m := newTestMachine(t, testView(1, 1, 1, 1, 1))
 	offer := func(q, priority int, due time.Duration) []uint64 {
 		o := offered(q)
@@ -61,7 +61,7 @@
 	offer(3, 0, 60*time.Millisecond)
 	offer(4, 0, 500*time.Millisecond)
 	offer(5, 1, 500*time.Millisecond)
-	offer(6, 0, 0) // no objective: in time until the deadline
+	offer(6, 0, 0) // no objective: on time until the deadline
 	now := start.Add(100 * time.Millisecond)
 	var order []uint64
 	for range 5 {
@@ -73,9 +73,9 @@
 	}
 }
 
-// TestLateWorkIsNoReasonToWait has late attempts wait before a shard: a query that can be
-// in time does not wait for them.
-func TestLateWorkIsNoReasonToWait(t *testing.T) {
+// TestLateAttemptsAddNoWait checks that the estimated wait of a new query does not
+// include late attempts.
+func TestLateAttemptsAddNoWait(t *testing.T) {
 	m := newTestMachine(t, testView(1, 1, 1, 1, 1))
 	for q := range 10 {
 		o := offered(q)
@@ -85,10 +85,10 @@
 	now := start.Add(100 * time.Millisecond)
 	m.Handle(reply(0, 40*time.Millisecond), now)
 	if _, _, wait := m.CountServableShards("a", 0, second, second); wait != 0 {
-		t.Errorf("a wait of %v behind work that is late", wait)
+		t.Errorf("a wait of %v behind late attempts", wait)
 	}
-	m.Handle(Withdrawn{Ticket: ticket(5)}, now) // one that is late leaves the queue
-	if n := m.shards[0].queue; n.length != 7 || n.late != 7 {
-		t.Errorf("%d wait, %d of them late, want 7", n.length, n.late)
+	m.Handle(Withdrawn{Ticket: ticket(5)}, now) // one of the late attempts
+	if q := m.shards[0].queue; q.length != 7 || q.late != 7 {
+		t.Errorf("%d queued, %d of them late, want 7", q.length, q.late)
 	}
 }
--- a/kernel/dispatch/sharing.go
+++ b/kernel/dispatch/sharing.go
@@ -7,60 +7,64 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/slowness"
 )
 
-// Observations returns what the routing policy saw since the last call that other
-// instances should know of. A policy that shares nothing gives none.
+// Observations returns the observations of the routing policy since the last call that
+// are of use to other instances, or nil for a policy that shares none.
 func (m *Machine) Observations() []slowness.Observation {
 	sharer, ok := m.routing.(plugin.Sharer)
 	if !ok {
 		return nil
 	}
-	seen := sharer.Observations()
-	if len(seen) == 0 {
+	observations := sharer.Observations()
+	if len(observations) == 0 {
 		return nil
 	}
 	ids := make(map[int]string, len(m.leaves))
 	for id, l := range m.leaves {
 		ids[l.key] = id
 	}
-	out := make([]slowness.Observation, 0, len(seen))
-	for _, s := range seen {
-		if id, ok := ids[s.Key]; ok {
-			out = append(out, slowness.Observation{Leaf: id, Elapsed: s.Took, Slow: s.Slow, At: s.At})
+	out := make([]slowness.Observation, 0, len(observations))
+	for _, o := range observations {
+		if id, ok := ids[o.Key]; ok {
+			out = append(out, slowness.Observation{Leaf: id, Elapsed: o.Took, Slow: o.Slow, At: o.At})
 		}
 	}
 	return out
 }
 
-// CrossZoneShard is a shard whose next attempt would go to a leaf of another zone.
+// CrossZoneShard is a shard whose next attempt would go to a leaf in another
+// availability zone.
 type CrossZoneShard struct {
 	Shard int // index in the view
-	// Leaves are those that would be about as good, by their indexes in the view.
+	// Leaves are the about equally good leaves in other zones, by their indexes in the
+	// view.
 	Leaves []int
 }
 
-// CrossZoneShards lists the shards whose next attempt would go to a leaf of another zone.
+// CrossZoneShards returns the shards whose next attempt would go to another availability
+// zone.
 func (m *Machine) CrossZoneShards(now time.Time) []CrossZoneShard {
 	var out []CrossZoneShard
 	for _, s := range m.shards {
-		if !m.gather(&attempt{shard: s}, now) {
+		if !m.collectCandidates(&attempt{shard: s}, now) {
 			continue
 		}
-		good := m.comparable(now)
-		if m.candidates[good[0]].Local {
+		best := m.comparable(now)
+		if m.candidates[best[0]].Local {
 			continue
 		}
-		a := CrossZoneShard{Shard: s.index}
-		for _, i := range good {
+		c := CrossZoneShard{Shard: s.index}
+		for _, i := range best {
 			if !m.candidates[i].Local {
-				a.Leaves = append(a.Leaves, m.chosen[i].index)
+				c.Leaves = append(c.Leaves, m.candidateLeaves[i].index)
 			}
 		}
-		out = append(out, a)
+		out = append(out, c)
 	}
 	return out
 }
 
-// comparable lists the candidates that are about as good as the best, which is first.
+// comparable returns the indexes of the candidates that are about as good as the best
+// one, which comes first.
 func (m *Machine) comparable(now time.Time) []int {
 	if c, ok := m.routing.(plugin.Comparer); ok {
 		return c.Comparable(m.candidates, now)
@@ -69,8 +73,9 @@
 	return []int{i}
 }
 
-// peersReported passes the reports of other instances to the routing policy.
-func (m *Machine) peersReported(list []slowness.SlowLeaf) {
+// applyPeerReports passes the slow leaves that other instances reported to the routing
+// policy.
+func (m *Machine) applyPeerReports(list []slowness.SlowLeaf) {
 	sharer, ok := m.routing.(plugin.Sharer)
 	if !ok {
 		return
--- a/kernel/dispatch/usage.go
+++ b/kernel/dispatch/usage.go
@@ -6,52 +6,52 @@
 	"time"
 )
 
-// Fairness between callers at admission.
+// Parameters of fairness between callers at admission.
 const (
-	// usageWindow is the time over which admissions are remembered.
+	// usageWindow is the time constant with which the counts decay.
 	usageWindow = 2 * time.Second
-	// A caller's patience is multiplied by (fair share / used share) to the
-	// power usagePower, within the bounds.
-	usagePower = 2
-	leastUsage = 0.25
-	mostUsage  = 20.0
-	// forgetBelow is the weight at which a silent caller is forgotten.
+	// The factor on a caller's patience is (fair share / used share) to the power of
+	// patienceExponent, within the two bounds.
+	patienceExponent  = 2
+	minPatienceFactor = 0.25
+	maxPatienceFactor = 20.0
+	// forgetBelow is the count of offered queries below which a caller is forgotten.
 	forgetBelow = 0.01
 )
 
-// callerUsage is one caller's decayed counts.
+// callerUsage holds one caller's decayed counts of queries and its share.
 type callerUsage struct {
 	name              string
 	offered, admitted float64
 	share             float64
-	last              time.Time
+	decayedAt         time.Time
 }
 
-// usage remembers what each caller has lately been given of the admissions.
+// usage tracks how the recent admissions were divided among the callers.
 type usage struct {
 	callers map[string]*callerUsage
-	order   []*callerUsage // as they came, so that sums are the same in each run
-	swept   time.Time
+	ordered []*callerUsage // in order of arrival, so that sums are the same in each run
+	sweptAt time.Time
 }
 
 func newUsage() usage { return usage{callers: make(map[string]*callerUsage)} }
 
-// offered counts a query and returns the factor on the caller's patience:
-// above 1 for one who has been given less than its fair share, below 1 for one
-// who has been given more.
-func (u *usage) offered(caller string, share int, now time.Time) float64 {
+// recordOffer counts an offered query and returns the factor on its caller's patience:
+// above 1 for a caller that was given less than its fair share of admissions, below 1
+// for one that was given more.
+func (u *usage) recordOffer(caller string, share int, now time.Time) float64 {
 	u.sweep(now)
 	c := u.callers[caller]
 	if c == nil {
-		c = &callerUsage{name: caller, last: now}
+		c = &callerUsage{name: caller, decayedAt: now}
 		u.callers[caller] = c
-		u.order = append(u.order, c)
+		u.ordered = append(u.ordered, c)
 	}
 	c.decay(now)
 	c.share = float64(max(1, share))
 	c.offered++
 	admitted, shares := 0.0, 0.0
-	for _, o := range u.order {
+	for _, o := range u.ordered {
 		o.decay(now)
 		admitted += o.admitted
 		shares += o.share
@@ -61,29 +61,30 @@
 	}
 	fair := c.share / shares * admitted
 	if c.offered <= fair {
-		return mostUsage // asks for no more than its share: max-min fairness
+		return maxPatienceFactor // it asks for no more than its share: max-min fairness
 	}
-	return min(max(math.Pow(fair/max(c.admitted, 1e-3), usagePower), leastUsage), mostUsage)
+	return min(max(math.Pow(fair/max(c.admitted, 1e-3), patienceExponent), minPatienceFactor), maxPatienceFactor)
 }
 
-// admitted counts an admission of a caller who was just offered.
-func (u *usage) admitted(caller string) { u.callers[caller].admitted++ }
+// recordAdmission counts an admission. The caller must have been passed to recordOffer.
+func (u *usage) recordAdmission(caller string) { u.callers[caller].admitted++ }
 
 // decay ages the counts.
 func (c *callerUsage) decay(now time.Time) {
-	kept := math.Exp(-float64(now.Sub(c.last)) / float64(usageWindow))
+	kept := math.Exp(-float64(now.Sub(c.decayedAt)) / float64(usageWindow))
 	c.offered *= kept
 	c.admitted *= kept
-	c.last = now
+	c.decayedAt = now
 }
 
-// sweep forgets silent callers, so that their shares fall to the others.
+// sweep forgets callers that have stopped sending, so that their shares go to the
+// others.
 func (u *usage) sweep(now time.Time) {
-	if now.Sub(u.swept) < usageWindow {
+	if now.Sub(u.sweptAt) < usageWindow {
 		return
 	}
-	u.swept = now
-	u.order = slices.DeleteFunc(u.order, func(c *callerUsage) bool {
+	u.sweptAt = now
+	u.ordered = slices.DeleteFunc(u.ordered, func(c *callerUsage) bool {
 		c.decay(now)
 		if c.offered >= forgetBelow {
 			return false
--- a/kernel/margin/margin_test.go
+++ b/kernel/margin/margin_test.go
@@ -13,9 +13,9 @@
 // TestMarginFollowsOwnDelay checks the margin of instances with different own delays.
 func TestMarginFollowsOwnDelay(t *testing.T) {
 	for _, tc := range []struct {
-		name     string
-		delays   []time.Duration // observed in turn, 50 times over
-		min, max time.Duration
+		name         string
+		delays       []time.Duration // observed in turn, 50 times over
+		lower, upper time.Duration
 	}{
 		{"no observation", nil, networkDelay, 20 * time.Millisecond},
 		{"fast", []time.Duration{500 * time.Microsecond}, networkDelay, 10 * time.Millisecond},
@@ -29,8 +29,8 @@
 				e.Observe(d)
 			}
 		}
-		if got := ForObjective(objective, networkDelay, e.UpperBound(InitialOwnDelay)); got < tc.min || got > tc.max {
-			t.Errorf("%s: due %v before the objective, want %v to %v", tc.name, got, tc.min, tc.max)
+		if got := ForObjective(objective, networkDelay, e.UpperBound(InitialOwnDelay)); got < tc.lower || got > tc.upper {
+			t.Errorf("%s: due %v before the objective, want %v to %v", tc.name, got, tc.lower, tc.upper)
 		}
 	}
 }
