--- a/kernel/ledger/claims.go
+++ b/kernel/ledger/claims.go
@@ -2,52 +2,53 @@
 
 import "time"
 
-// recordMargin is the time allowed for the write of a result.
-const recordMargin = 250 * time.Millisecond
+// resultWriteMargin is the time allowed for writing a result.
+const resultWriteMargin = 250 * time.Millisecond
 
-// fullRetryAfter is how long a caller is asked to wait for a full bucket.
+// fullRetryAfter is the delay that callers are asked to wait while a bucket is full.
 const fullRetryAfter = 30 * time.Second
 
-// expire refuses claims whose time to be confirmed has passed.
-func (m *Machine) expire(now time.Time) {
+// refuseTimedOut refuses the waiting claims whose time to be confirmed has passed.
+func (m *Machine) refuseTimedOut(now time.Time) {
 	m.filterWaiting(func(c *claim) bool {
-		if now.Before(c.giveUp) {
+		if now.Before(c.confirmBy) {
 			return true
 		}
 		if now.Before(c.Deadline) {
-			m.add(Unavailable{ID: c.ID, Reason: ReasonTimeout, RetryAfter: m.retryAfter(now)})
+			m.emit(Unavailable{ID: c.ID, Reason: ReasonTimeout, RetryAfter: m.retryAfter(now)})
 		} else {
-			m.add(Unavailable{ID: c.ID, Reason: ReasonDeadline})
+			m.emit(Unavailable{ID: c.ID, Reason: ReasonDeadline})
 		}
-		m.drop(c, now)
+		m.dropClaim(c, now)
 		return false
 	})
 }
 
-// reconcile compares the claims with the bucket as last seen. While a write is
-// in flight the bucket is not known, and nothing is concluded.
+// reconcile grants waiting claims and completes updates that the cached bucket
+// shows to be stored. It does nothing while a write is in flight, as the stored
+// bucket is then unknown.
 func (m *Machine) reconcile() {
 	if m.op == opWrite {
 		return
 	}
 	m.filterWaiting(func(c *claim) bool {
-		if !m.doubt {
+		if !m.inDoubt {
 			c.maybeStored = false
 		}
-		if !holds(m.records, c) {
+		if !containsClaim(m.records, c) {
 			return true
 		}
-		m.grant(c)
+		m.grantClaim(c)
 		return false
 	})
 	kept := m.updates[:0]
 	for _, c := range m.updates {
-		if !m.doubt {
+		if !m.inDoubt {
 			c.maybeStored = false
 		}
-		if m.persisted(c) {
-			m.forget(c)
-			m.add(Persisted{ID: c.ID})
+		if m.isPersisted(c) {
+			m.forgetClaim(c)
+			m.emit(Persisted{ID: c.ID})
 			continue
 		}
 		kept = append(kept, c)
@@ -56,16 +57,16 @@
 	m.updates = kept
 }
 
-// grant hands a confirmed claim to its holder. A claim past its deadline is no
-// longer waiting: expire has refused it.
-func (m *Machine) grant(c *claim) {
+// grantClaim grants a confirmed claim. One past its deadline never gets here:
+// refuseTimedOut has refused it.
+func (m *Machine) grantClaim(c *claim) {
 	c.phase = phaseGranted
-	m.add(Granted{ID: c.ID})
+	m.emit(Granted{ID: c.ID})
 }
 
-// persisted tells whether the bucket as last seen has what an update asks for.
-// A settled record that is gone was dropped after its retention.
-func (m *Machine) persisted(c *claim) bool {
+// isPersisted reports whether the cached bucket reflects an update. A settled
+// record that is missing was dropped after its retention.
+func (m *Machine) isPersisted(c *claim) bool {
 	rec, ok := m.records.Get(c.Key)
 	present := ok && rec.Nonce == c.Nonce
 	if c.phase == phaseReleasing {
@@ -74,104 +75,109 @@
 	return !present || rec.Done
 }
 
-// decide answers the waiting claims whose key is held by another.
-func (m *Machine) decide(now time.Time) {
+// answerHeldKeys answers the waiting claims whose key another claim holds, and
+// refuses those for which the bucket has no room.
+func (m *Machine) answerHeldKeys(now time.Time) {
 	if !m.known {
 		return
 	}
 	room := m.cfg.MaxRecords - len(m.records)
 	m.filterWaiting(func(c *claim) bool {
-		rec, held := m.holder(c, now)
+		rec, held := m.conflictingRecord(c, now)
 		if !held {
 			room--
-			return m.fits(c, room, now)
+			return m.keepIfRoom(c, room, now)
 		}
-		if rec.Nonce == c.Nonce || !rec.Done && !c.fresh {
+		if rec.Nonce == c.Nonce || !rec.Done && !c.bucketSeen {
 			return true
 		}
-		m.answerHeld(c.ID, c.Fingerprint, rec, now)
-		m.drop(c, now)
+		m.answerFromRecord(c.ID, c.Fingerprint, rec, now)
+		m.dropClaim(c, now)
 		return false
 	})
 }
 
-// holder gives the record that stands in the way of a claim.
-func (m *Machine) holder(c *claim, now time.Time) (Record, bool) {
+// conflictingRecord returns the record that holds a claim's key, which may be the
+// claim's own. Records about to be dropped or released don't count.
+func (m *Machine) conflictingRecord(c *claim, now time.Time) (Record, bool) {
 	rec, ok := m.records.Get(c.Key)
-	if !ok || m.expired(rec, now) || m.releases(rec) {
+	if !ok || m.isExpired(rec, now) || m.isReleasing(rec) {
 		return Record{}, false
 	}
 	return rec, true
 }
 
-// fits refuses a claim that has no room, unless its record is on its way.
-func (m *Machine) fits(c *claim, room int, now time.Time) bool {
-	if room >= 0 || m.flying(c) || c.maybeStored || m.expiredCount(now)+room >= 0 {
+// keepIfRoom reports whether a claim stays in the waiting list. It refuses a claim
+// for which the bucket has no room, unless its record may already be stored. room
+// is the number of free records after this claim; it is negative when the bucket
+// is too full.
+func (m *Machine) keepIfRoom(c *claim, room int, now time.Time) bool {
+	if room >= 0 || m.isInFlight(c) || c.maybeStored || m.countExpired(now)+room >= 0 {
 		return true
 	}
-	m.add(Unavailable{ID: c.ID, Reason: ReasonFull, RetryAfter: fullRetryAfter})
-	m.drop(c, now)
+	m.emit(Unavailable{ID: c.ID, Reason: ReasonFull, RetryAfter: fullRetryAfter})
+	m.dropClaim(c, now)
 	return false
 }
 
-// answerHeld answers a claim by the record that holds its key.
-func (m *Machine) answerHeld(id ClaimID, fp Fingerprint, rec Record, now time.Time) {
+// answerFromRecord answers a claim from the record that holds its key.
+func (m *Machine) answerFromRecord(id ClaimID, fp Fingerprint, rec Record, now time.Time) {
 	left := time.UnixMilli(rec.Deadline).Sub(now)
 	switch {
 	case rec.Fingerprint != fp:
-		m.add(Mismatch{ID: id})
+		m.emit(Mismatch{ID: id})
 	case rec.Done:
-		m.add(Held{ID: id, State: StateRecorded, Result: rec.Result})
+		m.emit(Held{ID: id, State: StateRecorded, Result: rec.Result})
 	case left > 0:
-		m.add(Held{ID: id, State: StateRunning, RetryAfter: m.recordTime()})
+		m.emit(Held{ID: id, State: StateRunning, RetryAfter: m.maxRecordDelay()})
 	default:
-		// What ended at its deadline may still be on its way to the store.
-		m.add(Held{ID: id, State: StateUnknown, RetryAfter: max(0, m.recordTime()+left)})
+		// The result of a request that ended at its deadline may not be stored yet.
+		m.emit(Held{ID: id, State: StateUnknown, RetryAfter: max(0, m.maxRecordDelay()+left)})
 	}
 }
 
-// recordTime is how long a result may take from the end of its request until
-// the store holds it: the wait for a write to ride along with, and the write.
-func (m *Machine) recordTime() time.Duration { return m.cfg.CombineDelay + recordMargin }
+// maxRecordDelay is how long it may take from the end of a request until its
+// result is stored: the wait to be combined with other writes, and the write.
+func (m *Machine) maxRecordDelay() time.Duration { return m.cfg.CombineDelay + resultWriteMargin }
 
-// drop ends a claim that will never be dispatched. If its record may be
-// stored, it is released in a later write.
-func (m *Machine) drop(c *claim, now time.Time) {
-	if c.maybeStored || m.flying(c) {
-		m.toReleasing(c, now)
+// dropClaim ends a claim that will never be dispatched. If its record may be
+// stored, a later write removes it.
+func (m *Machine) dropClaim(c *claim, now time.Time) {
+	if c.maybeStored || m.isInFlight(c) {
+		m.queueRelease(c, now)
 		return
 	}
-	m.forget(c)
+	m.forgetClaim(c)
 }
 
-// toReleasing queues the removal of a claim's record and frees the key for a
-// new claim at this entry.
-func (m *Machine) toReleasing(c *claim, due time.Time) {
+// queueRelease queues the removal of a claim's record and frees the key for a
+// new claim at this instance.
+func (m *Machine) queueRelease(c *claim, writeBy time.Time) {
 	c.phase = phaseReleasing
-	c.due = due
+	c.writeBy = writeBy
 	m.freeKey(c)
 	m.updates = append(m.updates, c)
 }
 
-// forget ends a claim of which the store has nothing more to learn.
-func (m *Machine) forget(c *claim) {
+// forgetClaim deletes a claim that needs no further write.
+func (m *Machine) forgetClaim(c *claim) {
 	delete(m.claims, c.ID)
 	m.freeKey(c)
 }
 
-// freeKey takes the claim off its key.
+// freeKey frees the claim's key, unless a later claim has it.
 func (m *Machine) freeKey(c *claim) {
 	if m.byKey[c.Key] == c {
 		delete(m.byKey, c.Key)
 	}
 }
 
-// unwait takes one claim out of the waiting list.
-func (m *Machine) unwait(gone *claim) {
-	m.filterWaiting(func(c *claim) bool { return c != gone })
+// removeWaiting removes one claim from the waiting list.
+func (m *Machine) removeWaiting(removed *claim) {
+	m.filterWaiting(func(c *claim) bool { return c != removed })
 }
 
-// filterWaiting keeps the waiting claims for which keep says so.
+// filterWaiting removes the waiting claims for which keep returns false.
 func (m *Machine) filterWaiting(keep func(*claim) bool) {
 	kept := m.waiting[:0]
 	for _, c := range m.waiting {
@@ -183,19 +189,19 @@
 	m.waiting = kept
 }
 
-// flying tells whether the write in flight holds the claim's record.
-func (m *Machine) flying(c *claim) bool {
-	return m.op == opWrite && holds(m.inFlight.Records, c)
+// isInFlight reports whether the write in flight contains the claim's record.
+func (m *Machine) isInFlight(c *claim) bool {
+	return m.op == opWrite && containsClaim(m.inFlightWrite.Records, c)
 }
 
-// holds tells whether the records hold this very claim.
-func holds(rs Records, c *claim) bool {
+// containsClaim reports whether the records hold this claim, by key and nonce.
+func containsClaim(rs Records, c *claim) bool {
 	rec, ok := rs.Get(c.Key)
 	return ok && rec.Nonce == c.Nonce
 }
 
-// releases tells whether this entry is about to release the record.
-func (m *Machine) releases(rec Record) bool {
+// isReleasing reports whether a release of the record is pending here.
+func (m *Machine) isReleasing(rec Record) bool {
 	for _, c := range m.updates {
 		if c.phase == phaseReleasing && c.Nonce == rec.Nonce {
 			return true
@@ -204,9 +210,9 @@
 	return false
 }
 
-// expired tells whether a record may be dropped by any instance's clock. A
-// claim that this entry still holds is kept.
-func (m *Machine) expired(rec Record, now time.Time) bool {
+// isExpired reports whether a record may be dropped: its retention has ended by
+// every instance's clock, and this instance no longer holds its claim.
+func (m *Machine) isExpired(rec Record, now time.Time) bool {
 	if now.UnixMilli() < rec.Expires+m.cfg.MaxClockSkew.Milliseconds() {
 		return false
 	}
@@ -214,11 +220,11 @@
 	return own == nil || own.Nonce != rec.Nonce
 }
 
-// expiredCount counts the records that the next write drops.
-func (m *Machine) expiredCount(now time.Time) int {
+// countExpired returns the number of records that the next write drops.
+func (m *Machine) countExpired(now time.Time) int {
 	n := 0
 	for _, rec := range m.records {
-		if m.expired(rec, now) {
+		if m.isExpired(rec, now) {
 			n++
 		}
 	}
--- a/kernel/ledger/codec.go
+++ b/kernel/ledger/codec.go
@@ -8,45 +8,46 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A bucket's value is, in order:
+// A bucket's value consists of, in order:
 //
 //	magic "FRL" and the format 1                     4 bytes
 //	number of records                                uvarint
-//	base time, the least of all times, Unix ms       uvarint
+//	base time, the earliest of all times, Unix ms    uvarint
 //	records, sorted by key:
 //	    key 16, fingerprint 8, nonce 8               32 bytes
 //	    outcome, 0 while there is none               1 byte
-//	    deadline above the base time, ms             uvarint
-//	    expiry above the base time, ms               uvarint
-//	    with an outcome: version, share              2 uvarint
-//	xxhash64 of all before                           8 bytes
+//	    deadline minus the base time, ms             uvarint
+//	    expiry minus the base time, ms               uvarint
+//	    only with an outcome: version, share         2 uvarint
+//	xxhash64 of all bytes before                     8 bytes
 //
-// A value that does not decode whole is an error, never an empty bucket.
+// A value that does not decode completely is an error, never an empty bucket.
 const (
 	magic           = "FRL\x01"
 	fixedRecordSize = 32 + 1
 	checksumSize    = 8
-	// maxTime bounds times, so that sums can't overflow: the year 10889.
+	// maxTime bounds times in Unix milliseconds, so that sums can't overflow. It
+	// is in the year 10889.
 	maxTime = 1 << 48
-	// typicalRecordSize is what a record takes at the usual retention.
+	// typicalRecordSize is the encoded size of a record at the default retention.
 	typicalRecordSize = 48
 )
 
-// MaxRecordSize is the most bytes that one record takes.
+// MaxRecordSize is the largest encoded size of a record, in bytes.
 const MaxRecordSize = fixedRecordSize + 2*7 + binary.MaxVarintLen64 + binary.MaxVarintLen16
 
-// headSize is the most bytes around the records.
-const headSize = len(magic) + 2*binary.MaxVarintLen64 + checksumSize
+// maxOverheadSize is the largest size of all fields outside the records, in bytes.
+const maxOverheadSize = len(magic) + 2*binary.MaxVarintLen64 + checksumSize
 
-// MaxRecordsPerValue is how many records surely fit a value of the platform,
-// which is a megabyte.
-const MaxRecordsPerValue = (1<<20 - headSize) / MaxRecordSize
+// MaxRecordsPerValue is the number of records that always fit a value of the
+// platform's store, whose limit is 1 MiB.
+const MaxRecordsPerValue = (1<<20 - maxOverheadSize) / MaxRecordSize
 
-// Encode gives a bucket's value. The records are sorted and valid, as Decode
-// and the machine give them.
+// Encode returns a bucket's value. The records must be sorted and valid, as
+// Decode and Machine return them.
 func Encode(rs Records) []byte {
 	base := baseTime(rs)
-	out := make([]byte, 0, headSize+len(rs)*typicalRecordSize)
+	out := make([]byte, 0, maxOverheadSize+len(rs)*typicalRecordSize)
 	out = append(out, magic...)
 	out = binary.AppendUvarint(out, uint64(len(rs)))
 	out = binary.AppendUvarint(out, uint64(base))
@@ -56,7 +57,7 @@
 	return binary.BigEndian.AppendUint64(out, xxhash.Sum64(out))
 }
 
-// baseTime is the least deadline or expiry.
+// baseTime returns the earliest deadline or expiry, in Unix milliseconds.
 func baseTime(rs Records) int64 {
 	if len(rs) == 0 {
 		return 0
@@ -68,7 +69,6 @@
 	return base
 }
 
-// appendRecord adds one record.
 func appendRecord(out []byte, r *Record, base int64) []byte {
 	out = append(out, r.Key[:]...)
 	out = binary.BigEndian.AppendUint64(out, uint64(r.Fingerprint))
@@ -87,7 +87,7 @@
 	return out
 }
 
-// Decode reads a bucket's value.
+// Decode decodes a bucket's value. Its errors are of type *CodecError.
 func Decode(value []byte) (Records, error) {
 	if len(value) < len(magic)+checksumSize || string(value[:len(magic)]) != magic {
 		return nil, &CodecError{Field: "head", Reason: "not a ledger bucket of this format"}
@@ -113,7 +113,7 @@
 	err  error
 }
 
-// fail keeps the first error and stops the reading.
+// fail keeps the first error and ends the decoding.
 func (d *decoder) fail(field, reason string) {
 	if d.err == nil {
 		d.err = &CodecError{Field: field, Reason: reason}
@@ -121,7 +121,7 @@
 	d.rest = nil
 }
 
-// records reads the head and all records.
+// records reads the number of records, the base time and all records.
 func (d *decoder) records() Records {
 	count := d.uvarint("count", uint64(len(d.rest)/fixedRecordSize))
 	base := int64(d.uvarint("base time", maxTime))
@@ -167,7 +167,6 @@
 	return r
 }
 
-// bytes reads n bytes.
 func (d *decoder) bytes(field string, n int) []byte {
 	if len(d.rest) < n {
 		d.fail(field, "is cut off")
@@ -178,7 +177,7 @@
 	return out
 }
 
-// uvarint reads a number of at most limit.
+// uvarint reads a number, which must be at most limit.
 func (d *decoder) uvarint(field string, limit uint64) uint64 {
 	v, n := binary.Uvarint(d.rest)
 	if n <= 0 || v > limit {
--- a/kernel/ledger/codec_test.go
+++ b/kernel/ledger/codec_test.go
@@ -13,8 +13,9 @@
 	"pgregory.net/rapid"
 )
 
-// sample gives n valid records of the last hour, half of them with a result.
-func sample(n int) Records {
+// sampleRecords returns n valid records with deadlines within an hour, half of them
+// with a result.
+func sampleRecords(n int) Records {
 	rng := rand.New(rand.NewPCG(3, 4))
 	rs := make(Records, n)
 	for i := range rs {
@@ -23,7 +24,7 @@
 		binary.BigEndian.PutUint64(r.Key[8:], rng.Uint64())
 		r.Fingerprint = Fingerprint(rng.Uint64())
 		r.Nonce = Nonce(rng.Uint64())
-		r.Deadline = worldStart.UnixMilli() + rng.Int64N(time.Hour.Milliseconds())
+		r.Deadline = simulationStart.UnixMilli() + rng.Int64N(time.Hour.Milliseconds())
 		r.Expires = r.Deadline + time.Hour.Milliseconds()
 		r.Done = i%2 == 0
 		if r.Done {
@@ -33,9 +34,9 @@
 	return rs
 }
 
-func TestCodecKeepsAll(t *testing.T) {
+func TestEncodeDecodeRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		want := sample(rapid.IntRange(0, 50).Draw(t, "n"))
+		want := sampleRecords(rapid.IntRange(0, 50).Draw(t, "n"))
 		for i := range want {
 			want[i].Fingerprint = Fingerprint(rapid.Uint64().Draw(t, "fp"))
 			want[i].Expires = want[i].Deadline + rapid.Int64Range(0, 1<<40).Draw(t, "expires")
@@ -55,28 +56,28 @@
 	})
 }
 
-// sealed appends a right checksum, so that the fields themselves are judged.
-func sealed(body []byte) []byte {
+// withChecksum appends the checksum of body, so that Decode checks the fields.
+func withChecksum(body []byte) []byte {
 	return binary.BigEndian.AppendUint64(slices.Clone(body), xxhash.Sum64(body))
 }
 
-func TestDamagedBucketIsNeverEmpty(t *testing.T) {
-	good := Encode(sample(3))
-	body := good[:len(good)-checksumSize]
-	unsorted := sample(2)
+func TestDecodeRejectsDamagedValue(t *testing.T) {
+	valid := Encode(sampleRecords(3))
+	body := valid[:len(valid)-checksumSize]
+	unsorted := sampleRecords(2)
 	slices.Reverse(unsorted)
-	badOutcome := slices.Clone(Encode(sample(1)))
+	badOutcome := slices.Clone(Encode(sampleRecords(1)))
 	badOutcome[len(magic)+1+6+32] = 9
 	for field, value := range map[string][]byte{
 		"head":      nil,
 		"checksum":  append(slices.Clone(body), make([]byte, checksumSize)...),
-		"tail":      sealed(append(slices.Clone(body), 0)),
+		"tail":      withChecksum(append(slices.Clone(body), 0)),
 		"key":       Encode(unsorted),
-		"count":     sealed(append([]byte(magic), 200)),
-		"base time": sealed(append([]byte(magic), 0, 0x80)),
-		"record":    sealed(append([]byte(magic), binary.AppendUvarint([]byte{1}, 1<<40)...)),
-		"outcome":   sealed(badOutcome[:len(badOutcome)-checksumSize]),
-		"share":     sealed(body[:len(body)-1]),
+		"count":     withChecksum(append([]byte(magic), 200)),
+		"base time": withChecksum(append([]byte(magic), 0, 0x80)),
+		"record":    withChecksum(append([]byte(magic), binary.AppendUvarint([]byte{1}, 1<<40)...)),
+		"outcome":   withChecksum(badOutcome[:len(badOutcome)-checksumSize]),
+		"share":     withChecksum(body[:len(body)-1]),
 	} {
 		_, err := Decode(value)
 		var codec *CodecError
@@ -88,17 +89,17 @@
 			t.Errorf("%s: got %v", field, codec)
 		}
 	}
-	for i := range good {
-		bad := slices.Clone(good)
-		bad[i] ^= 0x10
-		if _, err := Decode(bad); err == nil {
-			t.Errorf("a flipped bit in byte %d went unseen", i)
+	for i := range valid {
+		damaged := slices.Clone(valid)
+		damaged[i] ^= 0x10
+		if _, err := Decode(damaged); err == nil {
+			t.Errorf("a flipped bit in byte %d was not detected", i)
 		}
 	}
 }
 
-func TestLargestBucketFitsAValue(t *testing.T) {
-	rs := sample(MaxRecordsPerValue)
+func TestLargestBucketFitsStoreValue(t *testing.T) {
+	rs := sampleRecords(MaxRecordsPerValue)
 	rs[0].Deadline = 0
 	for i := range rs {
 		rs[i].Expires = maxTime
@@ -116,24 +117,24 @@
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(nil))
 	f.Add(Encode(nil))
-	f.Add(Encode(sample(1)))
-	f.Add(Encode(sample(7)))
+	f.Add(Encode(sampleRecords(1)))
+	f.Add(Encode(sampleRecords(7)))
 	f.Add([]byte(magic))
 	f.Fuzz(func(t *testing.T, value []byte) {
-		for _, v := range [][]byte{value, sealed(value)} {
+		for _, v := range [][]byte{value, withChecksum(value)} {
 			rs, err := Decode(v)
 			if err != nil {
 				continue
 			}
-			again, err := Decode(Encode(rs))
-			if err != nil || !slices.Equal(again, rs) {
-				t.Fatalf("%+v does not survive: %+v, %v", rs, again, err)
+			decoded, err := Decode(Encode(rs))
+			if err != nil || !slices.Equal(decoded, rs) {
+				t.Fatalf("%+v does not survive a round trip: %+v, %v", rs, decoded, err)
 			}
 		}
 	})
 }
 
-func TestKeyOfKeepsFieldsApart(t *testing.T) {
+func TestKeyOfSeparatesFields(t *testing.T) {
 	if KeyOf("a", "bc", "d") == KeyOf("ab", "c", "d") {
 		t.Error("two callers share a key")
 	}
@@ -145,19 +146,19 @@
 			t.Errorf("%v: got %v, %v", o, got, err)
 		}
 	}
-	for _, word := range []string{"", "not_run"} {
-		if _, err := ParseOutcome(word); err == nil {
-			t.Errorf("%q is taken for an outcome", word)
+	for _, text := range []string{"", "not_run"} {
+		if _, err := ParseOutcome(text); err == nil {
+			t.Errorf("%q is accepted as an outcome", text)
 		}
 	}
 }
 
-// sizes are numbers of records in a bucket.
-var sizes = []int{10, 1_000, 10_000}
+// bucketSizes are the numbers of records in the benchmarked buckets.
+var bucketSizes = []int{10, 1_000, 10_000}
 
 func BenchmarkEncode(b *testing.B) {
-	for _, n := range sizes {
-		rs := sample(n)
+	for _, n := range bucketSizes {
+		rs := sampleRecords(n)
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
@@ -169,8 +170,8 @@
 }
 
 func BenchmarkDecode(b *testing.B) {
-	for _, n := range sizes {
-		value := Encode(sample(n))
+	for _, n := range bucketSizes {
+		value := Encode(sampleRecords(n))
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
@@ -182,16 +183,16 @@
 	}
 }
 
-// BenchmarkClaim is one claim that is written, granted, settled and persisted
-// by two writes, in a bucket of n records, without the codec.
+// BenchmarkClaim measures a claim that is granted, settled and persisted by two
+// writes in a bucket of n records, without encoding.
 func BenchmarkClaim(b *testing.B) {
-	for _, n := range sizes {
+	for _, n := range bucketSizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			cfg := DefaultConfig()
 			cfg.CombineDelay = 0
 			m := New(cfg, rand.New(rand.NewPCG(1, 2)))
-			now := worldStart
-			m.known, m.version, m.records, m.seenAt = true, 1, sample(n), now
+			now := simulationStart
+			m.known, m.version, m.records, m.seenAt = true, 1, sampleRecords(n), now
 			b.ReportAllocs()
 			for b.Loop() {
 				m.records = m.records[:n:n]
@@ -201,7 +202,7 @@
 				m.Handle(Settle{ID: id, Result: Result{Outcome: OutcomeComplete}}, now)
 				m.Handle(WriteDone{Version: m.version + 1}, now)
 				if !m.Idle() {
-					b.Fatal("claim is not through")
+					b.Fatal("claim is not complete")
 				}
 			}
 		})
--- a/kernel/ledger/config.go
+++ b/kernel/ledger/config.go
@@ -2,36 +2,39 @@
 
 import "time"
 
-// Config holds the limits of a bucket's machine.
+// Config holds the limits of a bucket's Machine.
 type Config struct {
-	// Retention is how long a record is kept after its claim. A resend later
-	// than that is a new request.
+	// Retention is how long a record is kept after its claim. A request resent
+	// after that counts as a new one.
 	Retention time.Duration
-	// MaxClockSkew is how far two instances' clocks may be apart: a record is
-	// dropped only when it expired that long ago.
+	// MaxClockSkew is the largest difference between the clocks of two
+	// instances. A record is dropped only when it expired at least that long ago.
 	MaxClockSkew time.Duration
-	// MaxRecords bounds a bucket. A full bucket takes no claims: no record is
-	// dropped before its time.
+	// MaxRecords is the largest number of records in a bucket. A full bucket
+	// accepts no claims, as no record is dropped before it expires.
 	MaxRecords int
-	// ClaimTimeout bounds how long a claim waits for its confirmation.
+	// ClaimTimeout is the longest time that a claim waits to be confirmed.
 	ClaimTimeout time.Duration
-	// MaxCacheAge is how long a bucket as last seen is written on without a read.
-	// Later, another entry has probably written it: a read costs the store less
-	// than a write that conflicts.
+	// MaxCacheAge is how long after the last read or write the cached bucket is
+	// the base of a write. An older one is read first, as another instance has
+	// probably written it and a read costs the store less than a conflicting
+	// write.
 	MaxCacheAge time.Duration
-	// CombineDelay is how long a result waits for a claim's write to ride along
-	// with; until then a resend elsewhere hears that the request is running.
+	// CombineDelay is how long a result waits to be written together with a
+	// claim. Until it is written, a request resent to another instance is
+	// answered that the first one is running.
 	CombineDelay time.Duration
-	// ReleaseDelay is how long a release waits; until then a resend elsewhere
-	// is not granted.
+	// ReleaseDelay is how long a release waits to be written. Until it is
+	// written, a request resent to another instance is not granted.
 	ReleaseDelay time.Duration
 	// RetryMin and RetryMax bound the delay after a failed read or write.
 	RetryMin, RetryMax time.Duration
-	// RecoveryJitter spreads background writes after an outage.
+	// RecoveryJitter is the range of the random delay of background writes
+	// after an outage of the store.
 	RecoveryJitter time.Duration
 }
 
-// DefaultConfig gives the usual limits.
+// DefaultConfig returns the default limits.
 func DefaultConfig() Config {
 	return Config{
 		Retention:      time.Hour,
@@ -47,7 +50,7 @@
 	}
 }
 
-// Validate names the first setting that can't be worked with.
+// Validate returns a *ConfigError for the first invalid setting.
 func (c Config) Validate() error {
 	switch {
 	case c.Retention < time.Second:
@@ -72,7 +75,7 @@
 	return nil
 }
 
-// MaxDeadline is the longest time ahead that a claim's deadline may lie. The
-// retention outlasts it, so that no record is dropped while its holder may
-// still start the request.
+// MaxDeadline is how far in the future a claim's deadline may be. It is shorter
+// than the retention, so that no record is dropped while its holder may still
+// start the request.
 func (c Config) MaxDeadline() time.Duration { return c.Retention / 2 }
--- a/kernel/ledger/machine.go
+++ b/kernel/ledger/machine.go
@@ -7,31 +7,31 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/backoff"
 )
 
-// phase is how far a claim of this entry has come.
+// phase is the progress of a claim of this instance.
 type phase int
 
 const (
-	phaseWaiting   phase = iota // not confirmed; it may be in a write
+	phaseWaiting   phase = iota // not confirmed; the write in flight may hold it
 	phaseGranted                // confirmed; its holder runs the request
-	phaseSettling               // its result is to be written
-	phaseReleasing              // its record, if there is one, is to be removed
+	phaseSettling               // its result is not known to be stored yet
+	phaseReleasing              // its record, if stored, is to be removed
 )
 
-// claim is one claim of this entry.
+// claim is a claim of this instance and its progress.
 type claim struct {
 	Claim
-	phase  phase
-	giveUp time.Time // of a waiting claim
-	due    time.Time // when a result or release is written at the latest
-	result Result
-	// asked and fresh tell whether a read or write was begun, and has
-	// succeeded, since the claim came.
-	asked, fresh bool
-	// maybeStored says that a write of unknown effect holds the record.
+	phase     phase
+	confirmBy time.Time // a claim still waiting then is refused
+	writeBy   time.Time // a result or release is due to be written then
+	result    Result
+	// opStarted and bucketSeen are whether a read or write has started, and has
+	// succeeded, since the claim arrived.
+	opStarted, bucketSeen bool
+	// maybeStored is whether a write of unknown effect contained the record.
 	maybeStored bool
 }
 
-// operation is what the machine waits for.
+// operation is the store operation in flight.
 type operation int
 
 const (
@@ -40,47 +40,51 @@
 	opWrite
 )
 
-// maxUnknowns is how many writes in a row may have an unknown effect, with no
-// later version seen, before the bucket backs off.
-const maxUnknowns = 3
+// maxUnknownWrites is the number of consecutive writes of unknown effect, with
+// no later version seen, after which the bucket backs off.
+const maxUnknownWrites = 3
 
-// Machine is the ledger of one bucket at one entry. It implements
-// machine.Machine[Event, Action].
+// Machine is the state machine of one bucket at one instance. It batches the
+// claims, results and releases of the instance into conditional writes of the
+// bucket. It implements machine.Machine[Event, Action].
 type Machine struct {
 	cfg Config
 	rng *rand.Rand
 
-	// The bucket as last seen.
+	// The cached bucket: its version and records as last read or written, and
+	// when that was.
 	known   bool
 	version uint64
 	records Records
 	seenAt  time.Time
-	// floor is the least version that a read must show to be taken in.
-	floor uint64
-
-	op       operation
-	inFlight Write
-	// doubt says that a write on doubtBase may still take effect; it ends when
-	// the bucket is seen at a later version. recheck asks for a read first.
-	doubt     bool
-	doubtBase uint64
-	recheck   bool
-	unknowns  int // writes of unknown effect since the doubt began
+	// minVersion is the lowest version that a read may return; a lower one is
+	// stale.
+	minVersion uint64
+
+	op            operation
+	inFlightWrite Write
+	// inDoubt is whether a write on top of inDoubtVersion may still take effect;
+	// it ends when a later version of the bucket is seen. rereadNeeded asks for
+	// a read before the next write.
+	inDoubt        bool
+	inDoubtVersion uint64
+	rereadNeeded   bool
+	unknownWrites  int // writes of unknown effect since inDoubt was set
 
 	claims  map[ClaimID]*claim
-	byKey   map[Key]*claim // waiting, granted and settling
+	byKey   map[Key]*claim // waiting, granted and settling claims
 	waiting []*claim
-	updates []*claim // settling and releasing
-
-	down    bool
-	retryAt time.Time
-	backoff backoff.Backoff
-	flush   bool
-	wakeAt  time.Time
-	actions []Action
+	updates []*claim // settling and releasing claims
+
+	storeDown bool
+	retryAt   time.Time
+	backoff   backoff.Backoff
+	flushNow  bool
+	wakeAt    time.Time
+	actions   []Action
 }
 
-// New makes the machine of one bucket. The random source spreads retries.
+// New returns the Machine of one bucket. The random source is for jitter.
 func New(cfg Config, rng *rand.Rand) *Machine {
 	return &Machine{
 		cfg:     cfg,
@@ -91,85 +95,86 @@
 	}
 }
 
-// Idle tells whether nothing waits for the store.
+// Idle reports whether nothing waits for the store.
 func (m *Machine) Idle() bool {
 	return m.op == opNone && len(m.waiting) == 0 && len(m.updates) == 0
 }
 
-// Unsaved is the number of results and releases that the store does not hold yet.
+// Unsaved returns the number of results and releases not known to be stored yet.
 func (m *Machine) Unsaved() int { return len(m.updates) }
 
-// Handle takes in an event and gives what is to be done.
+// Handle applies an event and returns the actions to take. The slice is valid
+// until the next call.
 func (m *Machine) Handle(event Event, now time.Time) []Action {
 	m.actions = m.actions[:0]
-	m.take(event, now)
-	m.expire(now)
+	m.applyEvent(event, now)
+	m.refuseTimedOut(now)
 	m.reconcile()
-	m.decide(now)
-	m.start(now)
-	m.wake()
+	m.answerHeldKeys(now)
+	m.startOperation(now)
+	m.scheduleWake()
 	return m.actions
 }
 
-// take changes the state by one event.
-func (m *Machine) take(event Event, now time.Time) {
+// applyEvent updates the state by one event.
+func (m *Machine) applyEvent(event Event, now time.Time) {
 	switch e := event.(type) {
 	case Claim:
-		m.claim(e, now)
+		m.addClaim(e, now)
 	case Abandon:
-		m.release(e.ID, now)
+		m.releaseClaim(e.ID, now)
 	case Release:
-		m.release(e.ID, now)
+		m.releaseClaim(e.ID, now)
 	case Settle:
-		m.settle(e, now)
+		m.settleClaim(e, now)
 	case ReadDone:
-		m.readDone(e, now)
+		m.handleReadDone(e, now)
 	case ReadFailed:
-		m.failed(e.RetryAfter, now)
+		m.startBackoff(e.RetryAfter, now)
 	case WriteDone:
 		m.op = opNone
-		m.adopt(e.Version, m.inFlight.Records, now)
+		m.adoptBucket(e.Version, m.inFlightWrite.Records, now)
 	case WriteConflict:
 		m.op = opNone
-		m.floor = max(m.floor, m.version+1)
+		m.minVersion = max(m.minVersion, m.version+1)
 		m.backoff.Reset()
 	case WriteRefused:
-		m.failed(e.RetryAfter, now)
+		m.startBackoff(e.RetryAfter, now)
 	case WriteUnknown:
-		m.writeUnknown(now)
+		m.handleWriteUnknown(now)
 	case StoreDown:
-		m.down = true
+		m.storeDown = true
 		m.retryAt = now.Add(e.RetryAfter)
 		m.refuseWaiting(now)
 	case StoreUp:
-		m.storeUp(now)
+		m.handleStoreUp(now)
 	case Flush:
-		m.flush = true
+		m.flushNow = true
 	case Tick:
 		m.wakeAt = time.Time{}
 	}
 }
 
-// claim takes in a claim, or answers it at once.
-func (m *Machine) claim(e Claim, now time.Time) {
+// addClaim queues a claim, or answers it at once.
+func (m *Machine) addClaim(e Claim, now time.Time) {
 	switch own := m.byKey[e.Key]; {
 	case own != nil:
-		m.answerOwn(e, own, now)
+		m.answerFromOwnClaim(e, own, now)
 	case !now.Before(e.Deadline):
-		m.add(Unavailable{ID: e.ID, Reason: ReasonDeadline})
-	case m.down || now.Before(m.retryAt):
-		m.add(Unavailable{ID: e.ID, Reason: ReasonStoreDown, RetryAfter: m.retryAfter(now)})
+		m.emit(Unavailable{ID: e.ID, Reason: ReasonDeadline})
+	case m.storeDown || now.Before(m.retryAt):
+		m.emit(Unavailable{ID: e.ID, Reason: ReasonStoreDown, RetryAfter: m.retryAfter(now)})
 	default:
-		c := &claim{Claim: e, giveUp: earlier(e.Deadline, now.Add(m.cfg.ClaimTimeout))}
+		c := &claim{Claim: e, confirmBy: earlier(e.Deadline, now.Add(m.cfg.ClaimTimeout))}
 		m.claims[e.ID] = c
 		m.byKey[e.Key] = c
 		m.waiting = append(m.waiting, c)
 	}
 }
 
-// answerOwn answers a claim for a key that this entry itself holds.
-func (m *Machine) answerOwn(e Claim, own *claim, now time.Time) {
-	m.answerHeld(e.ID, e.Fingerprint, Record{
+// answerFromOwnClaim answers a claim for a key that this instance itself holds.
+func (m *Machine) answerFromOwnClaim(e Claim, own *claim, now time.Time) {
+	m.answerFromRecord(e.ID, e.Fingerprint, Record{
 		Fingerprint: own.Fingerprint,
 		Deadline:    own.Deadline.UnixMilli(),
 		Done:        own.phase == phaseSettling,
@@ -177,136 +182,139 @@
 	}, now)
 }
 
-// release ends a claim whose request provably did not run and never will.
-func (m *Machine) release(id ClaimID, now time.Time) {
+// releaseClaim ends a claim whose request provably has not run and never will.
+func (m *Machine) releaseClaim(id ClaimID, now time.Time) {
 	c := m.claims[id]
 	if c == nil {
 		return
 	}
 	switch c.phase {
 	case phaseWaiting:
-		m.unwait(c)
-		m.drop(c, now)
+		m.removeWaiting(c)
+		m.dropClaim(c, now)
 	case phaseGranted:
-		m.toReleasing(c, now.Add(m.cfg.ReleaseDelay))
+		m.queueRelease(c, now.Add(m.cfg.ReleaseDelay))
 	case phaseSettling, phaseReleasing:
-		// The first word about a claim stands.
+		// The first Settle or Release of a claim wins.
 	}
 }
 
-// settle keeps the result of a granted claim for the next write.
-func (m *Machine) settle(e Settle, now time.Time) {
+// settleClaim queues the result of a granted claim for a later write.
+func (m *Machine) settleClaim(e Settle, now time.Time) {
 	c := m.claims[e.ID]
 	if c == nil || c.phase != phaseGranted {
 		return
 	}
 	c.phase = phaseSettling
 	c.result = e.Result
-	c.due = now.Add(m.cfg.CombineDelay)
+	c.writeBy = now.Add(m.cfg.CombineDelay)
 	m.updates = append(m.updates, c)
 }
 
-// readDone takes in the bucket, unless the read is older than what was seen. A
-// bucket that was deleted is never taken for empty: it reads as too old.
-func (m *Machine) readDone(e ReadDone, now time.Time) {
-	if e.Version < max(m.floor, m.version) {
-		m.failed(0, now)
+// handleReadDone caches the bucket that was read, unless an earlier operation saw
+// a later version. A bucket that was deleted is never treated as empty: its
+// version 0 is too low.
+func (m *Machine) handleReadDone(e ReadDone, now time.Time) {
+	if e.Version < max(m.minVersion, m.version) {
+		m.startBackoff(0, now)
 		return
 	}
 	m.op = opNone
-	m.recheck = false
-	m.adopt(e.Version, e.Records, now)
+	m.rereadNeeded = false
+	m.adoptBucket(e.Version, e.Records, now)
 }
 
-// adopt makes a confirmed state of the bucket the known one.
-func (m *Machine) adopt(version uint64, records Records, now time.Time) {
+// adoptBucket caches a confirmed state of the bucket.
+func (m *Machine) adoptBucket(version uint64, records Records, now time.Time) {
 	m.known = true
 	m.version = version
 	m.records = records
 	m.seenAt = now
-	if m.doubt && version > m.doubtBase {
-		m.doubt = false
-		m.recheck = false
+	if m.inDoubt && version > m.inDoubtVersion {
+		m.inDoubt = false
+		m.rereadNeeded = false
 	}
-	if !m.doubt {
-		m.unknowns = 0
+	if !m.inDoubt {
+		m.unknownWrites = 0
 		m.backoff.Reset()
 	}
 	for _, c := range m.waiting {
-		c.fresh = c.asked
+		c.bucketSeen = c.opStarted
 	}
 }
 
-// writeUnknown notes which records may have been, or may yet be, stored. The
-// write is conditional on a version, so a repetition of it on the same version
-// is safe: at most one of them takes effect.
-func (m *Machine) writeUnknown(now time.Time) {
+// handleWriteUnknown marks the records that may have been, or may yet be, stored.
+// Writing again on the same version is safe: writes are conditional on it, so at
+// most one of them takes effect.
+func (m *Machine) handleWriteUnknown(now time.Time) {
 	m.op = opNone
-	m.doubt = true
-	m.doubtBase = m.inFlight.IfVersion
-	m.recheck = true
-	for _, list := range [][]*claim{m.waiting, m.updates} {
-		for _, c := range list {
-			if holds(m.inFlight.Records, c) {
+	m.inDoubt = true
+	m.inDoubtVersion = m.inFlightWrite.IfVersion
+	m.rereadNeeded = true
+	for _, claims := range [][]*claim{m.waiting, m.updates} {
+		for _, c := range claims {
+			if containsClaim(m.inFlightWrite.Records, c) {
 				c.maybeStored = true
 			}
 		}
 	}
-	m.unknowns++
-	if m.unknowns >= maxUnknowns {
-		m.failed(0, now)
+	m.unknownWrites++
+	if m.unknownWrites >= maxUnknownWrites {
+		m.startBackoff(0, now)
 	}
 }
 
-// failed ends a read or a write that was refused: what waits is refused, and
-// the bucket stays closed for a while.
-func (m *Machine) failed(hint time.Duration, now time.Time) {
+// startBackoff ends a failed operation: it refuses the waiting claims, and new
+// claims and operations until the backoff delay has passed. The delay is at least
+// minDelay, up to RetryMax.
+func (m *Machine) startBackoff(minDelay time.Duration, now time.Time) {
 	m.op = opNone
-	m.retryAt = now.Add(max(m.backoff.Next(m.rng), min(hint, m.cfg.RetryMax)))
+	m.retryAt = now.Add(max(m.backoff.Next(m.rng), min(minDelay, m.cfg.RetryMax)))
 	m.refuseWaiting(now)
 }
 
-// refuseWaiting refuses the claims that no write in flight can still confirm.
+// refuseWaiting refuses the waiting claims, except those that the write in
+// flight can still confirm.
 func (m *Machine) refuseWaiting(now time.Time) {
 	m.filterWaiting(func(c *claim) bool {
-		if m.flying(c) {
+		if m.isInFlight(c) {
 			return true
 		}
-		m.add(Unavailable{ID: c.ID, Reason: ReasonStoreDown, RetryAfter: m.retryAfter(now)})
-		m.drop(c, now)
+		m.emit(Unavailable{ID: c.ID, Reason: ReasonStoreDown, RetryAfter: m.retryAfter(now)})
+		m.dropClaim(c, now)
 		return false
 	})
 }
 
-// storeUp opens the bucket again. Claims may go at once; what waits in the
-// background is spread, so that the instances do not come back together.
-func (m *Machine) storeUp(now time.Time) {
-	m.down = false
+// handleStoreUp accepts claims again, at once. Pending results and releases get
+// random delays, so that the instances do not all write at the same moment.
+func (m *Machine) handleStoreUp(now time.Time) {
+	m.storeDown = false
 	m.retryAt = time.Time{}
 	m.backoff.Reset()
 	for _, c := range m.updates {
-		c.due = now.Add(spread(m.cfg.RecoveryJitter, m.rng))
+		c.writeBy = now.Add(randomDelay(m.cfg.RecoveryJitter, m.rng))
 	}
 }
 
-// retryAfter is when a refused caller should come back, with jitter.
+// retryAfter returns the delay, with jitter, that a refused caller is asked to
+// wait before it retries.
 func (m *Machine) retryAfter(now time.Time) time.Duration {
 	wait := max(m.retryAt.Sub(now), m.cfg.RetryMin)
-	return wait + spread(wait/2, m.rng)
+	return wait + randomDelay(wait/2, m.rng)
 }
 
-// add gives out an action.
-func (m *Machine) add(a Action) { m.actions = append(m.actions, a) }
+func (m *Machine) emit(a Action) { m.actions = append(m.actions, a) }
 
-// spread draws a delay in [0, d).
-func spread(d time.Duration, rng *rand.Rand) time.Duration {
-	if d <= 0 {
+// randomDelay returns a random delay in [0, maxDelay), or 0 if there is none.
+func randomDelay(maxDelay time.Duration, rng *rand.Rand) time.Duration {
+	if maxDelay <= 0 {
 		return 0
 	}
-	return time.Duration(rng.Int64N(int64(d)))
+	return time.Duration(rng.Int64N(int64(maxDelay)))
 }
 
-// earlier is the earlier of two times.
+// earlier returns the earlier of two times.
 func earlier(a, b time.Time) time.Time {
 	if a.Before(b) {
 		return a
--- a/kernel/ledger/main_test.go
+++ b/kernel/ledger/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestMain fixes the seed of the property tests, unless a long run is asked for.
+// TestMain fixes the seed of the property tests, except in long runs.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if os.Getenv("FUCHSIAROAD_LONG") != "1" {
--- a/kernel/ledger/messages.go
+++ b/kernel/ledger/messages.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// ClaimID names a claim within the entry.
+// ClaimID identifies a claim within its instance.
 type ClaimID uint64
 
-// Event is an input of the machine.
+// Event is an input of the Machine.
 type Event interface{ isEvent() }
 
-// Claim asks for the right to run a request once.
+// Claim asks for the exclusive right to run a request, once.
 type Claim struct {
 	ID          ClaimID
 	Key         Key
 	Fingerprint Fingerprint
 	Nonce       Nonce
-	// Deadline is the request's: a claim confirmed later is not granted.
+	// Deadline is the request's deadline: a claim confirmed later is not granted.
 	Deadline time.Time
 }
 
-// Abandon says that the caller of a claim has gone: it will never be
-// dispatched. After Granted it acts as Release.
+// Abandon reports that the caller of a claim has disconnected, so that the
+// request will never be dispatched. After Granted it acts as Release.
 type Abandon struct{ ID ClaimID }
 
-// Release gives a granted claim back. It must only be sent when the request
-// provably did not run; the key can then be claimed again.
+// Release gives up a granted claim, so that its key can be claimed again. Send it
+// only when the request provably did not run.
 type Release struct{ ID ClaimID }
 
 // Settle records how a granted request ended.
@@ -32,39 +32,40 @@
 	Result Result
 }
 
-// ReadDone is the bucket as the store has it; Version 0 means absent.
+// ReadDone carries the bucket as stored. Version 0 means that it does not exist.
 type ReadDone struct {
 	Version uint64
 	Records Records
 }
 
-// ReadFailed says that the bucket could not be read.
+// ReadFailed reports that the bucket could not be read.
 type ReadFailed struct{ RetryAfter time.Duration }
 
-// WriteDone says that the write took effect.
+// WriteDone reports that the write took effect.
 type WriteDone struct{ Version uint64 }
 
-// WriteConflict says that the write had no effect: the bucket has moved on.
+// WriteConflict reports that the write had no effect because the bucket has a
+// newer version.
 type WriteConflict struct{}
 
-// WriteRefused says that the write provably had no effect, and why it was
-// refused is the store's state: down, or over its rate.
+// WriteRefused reports that the write provably had no effect because the store
+// is down or rate-limits.
 type WriteRefused struct{ RetryAfter time.Duration }
 
-// WriteUnknown says that the reply was lost: the write may have taken effect,
+// WriteUnknown reports that the reply was lost: the write may have taken effect,
 // or may still do so.
 type WriteUnknown struct{}
 
-// StoreDown says that the store takes no claims for now.
+// StoreDown reports that the store is unavailable, so that claims are refused.
 type StoreDown struct{ RetryAfter time.Duration }
 
 // StoreUp ends StoreDown.
 type StoreUp struct{}
 
-// Flush asks to write at once what waits to be combined.
+// Flush asks to write pending results and releases at once.
 type Flush struct{}
 
-// Tick says that a time asked for by WakeAt has come.
+// Tick reports that the time of a WakeAt has come.
 type Tick struct{}
 
 func (Claim) isEvent()         {}
@@ -82,7 +83,7 @@
 func (Flush) isEvent()         {}
 func (Tick) isEvent()          {}
 
-// State is what the ledger knows of an earlier request with the same key.
+// State is what the ledger knows about an earlier request with the same key.
 type State string
 
 // The states of an earlier request.
@@ -92,26 +93,26 @@
 	StateUnknown  State = "unknown"  // claimed, its deadline has passed, no result
 )
 
-// Reason says why a claim was not taken. Such a request did not run.
+// Reason is why a claim was refused. Such a request did not run.
 type Reason string
 
-// The reasons of a claim that was not taken.
+// The reasons for refusing a claim.
 const (
 	ReasonStoreDown Reason = "store_down" // the store can't be read or written
-	ReasonTimeout   Reason = "timeout"    // no confirmation within the claim's time
-	ReasonFull      Reason = "full"       // the bucket holds as many records as it may
+	ReasonTimeout   Reason = "timeout"    // not confirmed within the claim timeout
+	ReasonFull      Reason = "full"       // the bucket holds MaxRecords records
 	ReasonDeadline  Reason = "deadline"   // the request's deadline has passed
 	ReasonStopped   Reason = "stopped"    // the ledger has stopped
-	ReasonAbandoned Reason = "abandoned"  // the caller has gone
+	ReasonAbandoned Reason = "abandoned"  // the caller has disconnected
 )
 
-// Action is an output of the machine.
+// Action is an output of the Machine.
 type Action interface{ isAction() }
 
-// Read asks to read the bucket. One Read or Write is in flight at a time.
+// Read asks to read the bucket. At most one Read or Write is in flight.
 type Read struct{}
 
-// Write asks to write the bucket if it stands at IfVersion.
+// Write asks to replace the bucket's records if its version is IfVersion.
 type Write struct {
 	IfVersion uint64
 	Records   Records
@@ -120,7 +121,7 @@
 // Granted gives the right to run the request, once, until its deadline.
 type Granted struct{ ID ClaimID }
 
-// Held refuses a claim: an earlier request holds the key.
+// Held refuses a claim because an earlier request holds the key.
 type Held struct {
 	ID         ClaimID
 	State      State
@@ -128,21 +129,21 @@
 	RetryAfter time.Duration
 }
 
-// Mismatch refuses a claim: the key was used with another body.
+// Mismatch refuses a claim because its key was used with another body.
 type Mismatch struct{ ID ClaimID }
 
-// Unavailable refuses a claim: it can't be confirmed. The request did not run
-// and must not.
+// Unavailable refuses a claim because it can't be confirmed. The request did not
+// run and must not be run.
 type Unavailable struct {
 	ID         ClaimID
 	Reason     Reason
 	RetryAfter time.Duration
 }
 
-// Persisted says that the store holds what Settle or Release asked for.
+// Persisted reports that the store reflects the Settle or Release of a claim.
 type Persisted struct{ ID ClaimID }
 
-// WakeAt asks for a Tick at or after At; it replaces an earlier wish.
+// WakeAt asks for a Tick at or after At. It replaces an earlier WakeAt.
 type WakeAt struct{ At time.Time }
 
 func (Read) isAction()        {}
--- a/kernel/ledger/writes.go
+++ b/kernel/ledger/writes.go
@@ -6,56 +6,57 @@
 	"time"
 )
 
-// start begins the next read or write, if one is due and may be made.
-func (m *Machine) start(now time.Time) {
-	if m.op != opNone || m.down || now.Before(m.retryAt) || !m.due(now) {
+// startOperation starts the next read or write, if one is due and allowed.
+func (m *Machine) startOperation(now time.Time) {
+	if m.op != opNone || m.storeDown || now.Before(m.retryAt) || !m.operationDue(now) {
 		return
 	}
 	if m.needsRead(now) {
 		m.op = opRead
-		m.add(Read{})
+		m.emit(Read{})
 	} else {
 		m.op = opWrite
-		m.inFlight = Write{IfVersion: m.version, Records: m.content(now)}
-		m.add(m.inFlight)
+		m.inFlightWrite = Write{IfVersion: m.version, Records: m.nextRecords(now)}
+		m.emit(m.inFlightWrite)
 	}
 	for _, c := range m.waiting {
-		c.asked = true
+		c.opStarted = true
 	}
 }
 
-// due tells whether a claim waits, or a result or release has waited enough.
-func (m *Machine) due(now time.Time) bool {
+// operationDue reports whether a claim is waiting, or a result or release is due
+// to be written. It resets flushNow when nothing is left to flush.
+func (m *Machine) operationDue(now time.Time) bool {
 	if len(m.waiting) > 0 {
 		return true
 	}
 	for _, c := range m.updates {
-		if m.flush || !now.Before(c.due) {
+		if m.flushNow || !now.Before(c.writeBy) {
 			return true
 		}
 	}
-	m.flush = m.flush && len(m.updates) > 0
+	m.flushNow = m.flushNow && len(m.updates) > 0
 	return false
 }
 
-// needsRead tells whether the bucket must be read before it can be written, or
-// before a claim can be answered.
+// needsRead reports whether the bucket must be read before it can be written or
+// a claim can be answered.
 func (m *Machine) needsRead(now time.Time) bool {
-	if !m.known || m.floor > m.version || m.recheck || now.Sub(m.seenAt) > m.cfg.MaxCacheAge {
+	if !m.known || m.minVersion > m.version || m.rereadNeeded || now.Sub(m.seenAt) > m.cfg.MaxCacheAge {
 		return true
 	}
 	for _, c := range m.waiting {
-		if rec, held := m.holder(c, now); held && rec.Nonce != c.Nonce && !c.fresh {
+		if rec, held := m.conflictingRecord(c, now); held && rec.Nonce != c.Nonce && !c.bucketSeen {
 			return true
 		}
 	}
 	return false
 }
 
-// content is the bucket with all changes of this entry: claims added, results
-// set, released and expired records dropped.
-func (m *Machine) content(now time.Time) Records {
-	changes := m.changes(now)
+// nextRecords returns the bucket's records with the changes of this instance
+// applied: claims added, results set, released and expired records dropped.
+func (m *Machine) nextRecords(now time.Time) Records {
+	changes := m.pendingChanges(now)
 	out := make(Records, 0, len(m.records)+len(changes))
 	next := 0
 	for _, rec := range m.records {
@@ -68,7 +69,7 @@
 			next++
 			continue
 		}
-		if !m.expired(rec, now) {
+		if !m.isExpired(rec, now) {
 			out = append(out, rec)
 		}
 	}
@@ -78,25 +79,25 @@
 	return out
 }
 
-// change is what becomes of one key.
-type change struct {
+// recordChange sets or removes the record of one key.
+type recordChange struct {
 	key    Key
 	remove bool
 	record Record
 }
 
-// appendTo adds the key's new record, if it has one.
-func (c change) appendTo(out Records) Records {
+// appendTo appends the key's new record, unless it is removed.
+func (c recordChange) appendTo(out Records) Records {
 	if c.remove {
 		return out
 	}
 	return append(out, c.record)
 }
 
-// changes lists what this entry changes, sorted by key, each key once. A claim
-// after a release of the same key replaces it.
-func (m *Machine) changes(now time.Time) []change {
-	byKey := make(map[Key]change, len(m.updates)+len(m.waiting))
+// pendingChanges returns the changes to write, sorted by key, each key once. A
+// claim that follows a release of the same key replaces the release.
+func (m *Machine) pendingChanges(now time.Time) []recordChange {
+	byKey := make(map[Key]recordChange, len(m.updates)+len(m.waiting))
 	for _, c := range m.updates {
 		rec, ok := m.records.Get(c.Key)
 		if !ok || rec.Nonce != c.Nonce {
@@ -104,10 +105,10 @@
 		}
 		rec.Done = c.phase == phaseSettling
 		rec.Result = c.result
-		byKey[c.Key] = change{key: c.Key, remove: c.phase == phaseReleasing, record: rec}
+		byKey[c.Key] = recordChange{key: c.Key, remove: c.phase == phaseReleasing, record: rec}
 	}
 	for _, c := range m.waiting {
-		byKey[c.Key] = change{key: c.Key, record: Record{
+		byKey[c.Key] = recordChange{key: c.Key, record: Record{
 			Key:         c.Key,
 			Fingerprint: c.Fingerprint,
 			Nonce:       c.Nonce,
@@ -115,16 +116,16 @@
 			Expires:     now.Add(m.cfg.Retention).UnixMilli(),
 		}}
 	}
-	out := make([]change, 0, len(byKey))
+	out := make([]recordChange, 0, len(byKey))
 	for _, c := range byKey {
 		out = append(out, c)
 	}
-	slices.SortFunc(out, func(a, b change) int { return bytes.Compare(a.key[:], b.key[:]) })
+	slices.SortFunc(out, func(a, b recordChange) int { return bytes.Compare(a.key[:], b.key[:]) })
 	return out
 }
 
-// wake asks for the next Tick, if it is not yet asked for.
-func (m *Machine) wake() {
+// scheduleWake asks for a Tick at the next due time, unless that was asked for.
+func (m *Machine) scheduleWake() {
 	var at time.Time
 	consider := func(t time.Time) {
 		if at.IsZero() || t.Before(at) {
@@ -132,20 +133,20 @@
 		}
 	}
 	for _, c := range m.waiting {
-		consider(c.giveUp)
+		consider(c.confirmBy)
 	}
-	if m.op == opNone && !m.down {
+	if m.op == opNone && !m.storeDown {
 		for _, c := range m.updates {
-			due := c.due
-			if due.Before(m.retryAt) {
-				due = m.retryAt
+			writeAt := c.writeBy
+			if writeAt.Before(m.retryAt) {
+				writeAt = m.retryAt
 			}
-			consider(due)
+			consider(writeAt)
 		}
 	}
 	if at.IsZero() || at.Equal(m.wakeAt) {
 		return
 	}
 	m.wakeAt = at
-	m.add(WakeAt{At: at})
+	m.emit(WakeAt{At: at})
 }
