--- a/entry/executor/arrivals.go
+++ b/entry/executor/arrivals.go
@@ -16,7 +16,7 @@
 	slack func(shards int) float64 // Config.RepeatSlack
 
 	mu      sync.Mutex
-	windows map[string]*kernelrepetition.Window // by shard name
+	windows map[string]*kernelrepetition.RepeatLimiter // by shard name
 }
 
 // newArrivals makes it empty.
@@ -24,7 +24,7 @@
 	if slack == nil {
 		slack = func(int) float64 { return 1 }
 	}
-	return &arrivals{slack: slack, windows: make(map[string]*kernelrepetition.Window)}
+	return &arrivals{slack: slack, windows: make(map[string]*kernelrepetition.RepeatLimiter)}
 }
 
 // arrived counts a request at a shard. It is counted by the instance that asks the
@@ -35,7 +35,7 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.window(up, shard).Arrived(now)
+	a.window(up, shard).CountRequest(now)
 }
 
 // take spends one repeat at a shard, if it fits. Without a bound it always does.
@@ -54,7 +54,7 @@
 	defer a.mu.Unlock()
 	least = math.Inf(1)
 	for _, w := range a.windows {
-		least = min(least, w.Left(now))
+		least = min(least, w.RemainingRepeats(now))
 	}
 	return least, len(a.windows)
 }
@@ -67,15 +67,15 @@
 
 // window returns the window of a shard with this instance's part of the limit.
 // The lock is held.
-func (a *arrivals) window(up *view.Upstream, shard int) *kernelrepetition.Window {
+func (a *arrivals) window(up *view.Upstream, shard int) *kernelrepetition.RepeatLimiter {
 	limit := up.Config.Repeats
-	part := kernelrepetition.Limit{
-		Ratio: limit.Ratio, Slack: limit.Slack * a.slack(len(up.Shards)), Span: limit.Window,
+	part := kernelrepetition.RepeatLimit{
+		Ratio: limit.Ratio, Slack: limit.Slack * a.slack(len(up.Shards)), Window: limit.Window,
 	}
 	name := up.Shards[shard].Name
 	w, ok := a.windows[name]
 	if !ok {
-		w = kernelrepetition.NewWindow(part)
+		w = kernelrepetition.NewRepeatLimiter(part)
 		a.windows[name] = w
 	}
 	w.SetLimit(part)
--- a/kernel/dispatch/estimate.go
+++ b/kernel/dispatch/estimate.go
@@ -29,7 +29,7 @@
 type times struct {
 	// sketch remembers long, for quantiles far out, and recent what decisions on load
 	// need.
-	sketch, recent repetition.Latency
+	sketch, recent repetition.LatencySketch
 	seen           int
 	agedAt         time.Time     // of recent
 	last           time.Time     // of the last reply
@@ -62,15 +62,15 @@
 
 func (t *times) observe(d time.Duration, now time.Time) {
 	if !t.known(now) {
-		t.sketch.Fade(staleWeight)
-		t.recent.Fade(staleWeight)
+		t.sketch.CapWeight(staleWeight)
+		t.recent.CapWeight(staleWeight)
 		t.seen, t.least, t.median, t.most = 0, 0, 0, 0
 	}
 	t.last = now
 	aged := now.Sub(t.agedAt) >= agingInterval
 	if aged {
 		t.agedAt = now
-		t.recent.Age(staleWeight)
+		t.recent.HalveWeight(staleWeight)
 	}
 	t.sketch.Observe(d)
 	t.recent.Observe(d)
--- a/kernel/repetition/latency.go
+++ b/kernel/repetition/latency.go
@@ -20,14 +20,14 @@
 
 var logGrowth = math.Log(sketchGrowth)
 
-// Latency is a decaying quantile sketch of fixed size. The zero value is ready.
-type Latency struct {
+// LatencySketch is a decaying quantile sketch of fixed size. The zero value is ready.
+type LatencySketch struct {
 	counts [sketchBuckets]float32
 	total  float32
 }
 
 // Observe adds one latency.
-func (l *Latency) Observe(d time.Duration) {
+func (l *LatencySketch) Observe(d time.Duration) {
 	l.counts[bucketOf(d)]++
 	l.total++
 	if l.total >= sketchWindow {
@@ -35,23 +35,23 @@
 	}
 }
 
-// Fade bounds the weight of what was seen so far by the given number of
+// CapWeight bounds the weight of what was seen so far by the given number of
 // observations, so that as many new ones outweigh it.
-func (l *Latency) Fade(most int) {
+func (l *LatencySketch) CapWeight(most int) {
 	if l.total > float32(most) {
 		l.scale(float32(most) / l.total)
 	}
 }
 
-// Age halves the weight of what was seen so far, down to the given number of
+// HalveWeight halves the weight of what was seen so far, down to the given number of
 // observations.
-func (l *Latency) Age(least int) { l.Fade(max(least, int(l.total/2))) }
+func (l *LatencySketch) HalveWeight(least int) { l.CapWeight(max(least, int(l.total/2))) }
 
 // halve ages what has been seen.
-func (l *Latency) halve() { l.scale(0.5) }
+func (l *LatencySketch) halve() { l.scale(0.5) }
 
 // scale multiplies all weights.
-func (l *Latency) scale(by float32) {
+func (l *LatencySketch) scale(by float32) {
 	l.total = 0
 	for i := range l.counts {
 		l.counts[i] *= by
@@ -61,7 +61,7 @@
 
 // Quantile returns the upper bound of the bucket that holds quantile q in
 // (0, 1), or 0 while fewer than sketchLeast observations are held.
-func (l *Latency) Quantile(q float64) time.Duration {
+func (l *LatencySketch) Quantile(q float64) time.Duration {
 	if l.total < sketchLeast {
 		return 0
 	}
--- a/kernel/repetition/repetition_test.go
+++ b/kernel/repetition/repetition_test.go
@@ -75,7 +75,7 @@
 // TestQuantileIsWithinOneStep compares the sketch with the sorted observations.
 func TestQuantileIsWithinOneStep(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var l Latency
+		var l LatencySketch
 		all := rapid.SliceOfN(rapid.Int64Range(int64(sketchFloor), int64(time.Minute)), sketchLeast, 200).Draw(t, "latencies")
 		for _, d := range all {
 			l.Observe(time.Duration(d))
@@ -93,7 +93,7 @@
 }
 
 func TestQuantileNeedsObservations(t *testing.T) {
-	var l Latency
+	var l LatencySketch
 	for range sketchLeast - 1 {
 		l.Observe(time.Second)
 	}
@@ -103,7 +103,7 @@
 }
 
 func TestSketchForgets(t *testing.T) {
-	var l Latency
+	var l LatencySketch
 	for range 2000 {
 		l.Observe(time.Second)
 	}
@@ -116,11 +116,11 @@
 }
 
 func TestFadedPastIsOutweighed(t *testing.T) {
-	var l Latency
+	var l LatencySketch
 	for range 2000 {
 		l.Observe(time.Second)
 	}
-	l.Fade(40)
+	l.CapWeight(40)
 	if d := l.Quantile(0.5); d < 900*time.Millisecond {
 		t.Fatalf("median %v right after fading, want what was seen", d)
 	}
--- a/kernel/repetition/window.go
+++ b/kernel/repetition/window.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Window counts one instance's arrivals at a shard over a sliding span of time
+// RepeatLimiter counts one instance's arrivals at a shard over a sliding span of time
 // and says how many beyond the first of each request it may add. The limit is
 // the fleet's; each instance spends its own part of it: the ratio over its own
 // requests, and an equal share of the slack. The parts of all instances
@@ -10,21 +10,21 @@
 //
 // The zero value is not ready; see NewWindow. It is used by one goroutine at a
 // time.
-type Window struct {
-	limit    Limit
+type RepeatLimiter struct {
+	limit    RepeatLimit
 	base     time.Time // step 0; only the steady clock counts from there
 	requests spans
 	repeats  spans
 }
 
-// Limit is an instance's own part of a fleet's limit.
-type Limit struct {
+// RepeatLimit is an instance's own part of a fleet's limit.
+type RepeatLimit struct {
 	// Ratio is the arrivals beyond the first that one request allows.
 	Ratio float64
 	// Slack is this instance's share of what is allowed without any request.
 	Slack float64
-	// Span is the length of time that the limit holds for.
-	Span time.Duration
+	// Window is the length of time that the limit holds for.
+	Window time.Duration
 }
 
 // spansPerWindow cuts the span into steps. What happened in a step that is
@@ -39,17 +39,17 @@
 	step   int64 // the newest step counted
 }
 
-// NewWindow returns a window that has seen nothing.
-func NewWindow(l Limit) *Window { return &Window{limit: l} }
+// NewRepeatLimiter returns a window that has seen nothing.
+func NewRepeatLimiter(l RepeatLimit) *RepeatLimiter { return &RepeatLimiter{limit: l} }
 
 // SetLimit changes the limit; what was counted stays.
-func (w *Window) SetLimit(l Limit) { w.limit = l }
+func (w *RepeatLimiter) SetLimit(l RepeatLimit) { w.limit = l }
 
-// Arrived counts one request for the shard.
-func (w *Window) Arrived(now time.Time) { w.requests.add(w.stepOf(now)) }
+// CountRequest counts one request for the shard.
+func (w *RepeatLimiter) CountRequest(now time.Time) { w.requests.add(w.stepOf(now)) }
 
 // TakeRepeat reports whether one more repeat fits now, and counts it if so.
-func (w *Window) TakeRepeat(now time.Time) bool {
+func (w *RepeatLimiter) TakeRepeat(now time.Time) bool {
 	step := w.stepOf(now)
 	w.requests.advance(step)
 	w.repeats.advance(step)
@@ -60,8 +60,8 @@
 	return true
 }
 
-// Left is how many repeats fit now.
-func (w *Window) Left(now time.Time) float64 {
+// RemainingRepeats is how many repeats fit now.
+func (w *RepeatLimiter) RemainingRepeats(now time.Time) float64 {
 	step := w.stepOf(now)
 	w.requests.advance(step)
 	w.repeats.advance(step)
@@ -70,16 +70,16 @@
 
 // allowed is the number of repeats that the span may hold. The requests counted
 // reach a step further back than the repeats may; that step is left out.
-func (w *Window) allowed() float64 {
+func (w *RepeatLimiter) allowed() float64 {
 	return w.limit.Ratio*float64(w.requests.total-w.requests.oldest()) + w.limit.Slack
 }
 
 // stepOf numbers the step of a time.
-func (w *Window) stepOf(now time.Time) int64 {
+func (w *RepeatLimiter) stepOf(now time.Time) int64 {
 	if w.base.IsZero() {
 		w.base = now
 	}
-	return int64(now.Sub(w.base)) / max(1, int64(w.limit.Span)/spansPerWindow)
+	return int64(now.Sub(w.base)) / max(1, int64(w.limit.Window)/spansPerWindow)
 }
 
 // add counts one event of a step.
--- a/kernel/repetition/window_test.go
+++ b/kernel/repetition/window_test.go
@@ -9,10 +9,10 @@
 
 // TestWindowAllowsRatioAndSlack checks the bound of one span and its end.
 func TestWindowAllowsRatioAndSlack(t *testing.T) {
-	w := NewWindow(Limit{Ratio: 0.2, Slack: 3, Span: 10 * time.Second})
+	w := NewRepeatLimiter(RepeatLimit{Ratio: 0.2, Slack: 3, Window: 10 * time.Second})
 	now := time.Unix(1000, 0)
 	for range 50 {
-		w.Arrived(now)
+		w.CountRequest(now)
 	}
 	taken := 0
 	for w.TakeRepeat(now) {
@@ -32,14 +32,14 @@
 // TestWindowHoldsInAnySpan compares the repeats of every span with its requests.
 func TestWindowHoldsInAnySpan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		limit := Limit{Ratio: 0.2, Slack: 2, Span: 10 * time.Second}
-		w := NewWindow(limit)
+		limit := RepeatLimit{Ratio: 0.2, Slack: 2, Window: 10 * time.Second}
+		w := NewRepeatLimiter(limit)
 		now := time.Unix(1000, 0)
 		var requests, repeats []time.Time
 		for range rapid.IntRange(1, 300).Draw(t, "events") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 700).Draw(t, "gap")) * time.Millisecond)
 			if rapid.Bool().Draw(t, "request") {
-				w.Arrived(now)
+				w.CountRequest(now)
 				requests = append(requests, now)
 				continue
 			}
@@ -48,7 +48,7 @@
 			}
 		}
 		for _, end := range repeats {
-			from := end.Add(-limit.Span)
+			from := end.Add(-limit.Window)
 			if got, most := within(repeats, from, end), limit.Ratio*float64(within(requests, from, end))+limit.Slack; float64(got) > most {
 				t.Fatalf("%d repeats in a span that allows %.1f", got, most)
 			}
