--- a/kernel/repetition/budget.go
+++ b/kernel/repetition/budget.go
@@ -1,26 +1,28 @@
-// Package repetition holds what decides on sending a sub-request again: token
-// budgets for hedges and retries, and a sketch of recent latency.
+// Package repetition limits how often sub-requests are sent again. It has token
+// budgets for hedges and retries, a sliding-window limit on repeats per shard, and
+// a quantile sketch of recent latency.
 package repetition
 
 import "time"
 
-// Budgets of repetition keep at most this many tokens, so that a long calm
-// does not pay for a storm.
+// The capacities of the token buckets bound the tokens that a long quiet period
+// can save up for a burst of hedges or retries.
 const (
 	hedgeBurst = 20
 	retryBurst = 10
 )
 
-// bucket earns a fraction of a token per deposit and holds at most burst.
-type bucket struct {
+// tokenBucket earns a fraction of a token per deposit and holds at most burst
+// tokens.
+type tokenBucket struct {
 	perDeposit float64
 	tokens     float64
 	burst      float64
 }
 
-func (b *bucket) deposit() { b.tokens = min(b.burst, b.tokens+b.perDeposit) }
+func (b *tokenBucket) deposit() { b.tokens = min(b.burst, b.tokens+b.perDeposit) }
 
-func (b *bucket) take() bool {
+func (b *tokenBucket) take() bool {
 	if b.tokens < 1 {
 		return false
 	}
@@ -28,21 +30,21 @@
 	return true
 }
 
-// Budget pays for hedges and retries out of first sub-requests, so that the
-// extra load is a fixed share of the load itself and stops when load stops.
+// Budget limits hedges and retries to fixed shares of the first sub-requests, so
+// that the extra load is proportional to the load itself and stops with it.
 type Budget struct {
-	hedge bucket
-	retry bucket
+	hedge tokenBucket
+	retry tokenBucket
 }
 
-// NewBudget returns buckets that earn the given shares in [0, 1] per first
-// sub-request. The retry bucket starts full, unless its share is 0: a retry
-// follows a proof that nothing ran, and the first leaf that declines should
-// not cost an answer. The hedge bucket starts empty.
+// NewBudget returns a Budget that earns the given shares, in [0, 1], of a hedge and
+// a retry per first sub-request. The retry bucket starts full, unless its share is
+// 0: a retry follows proof that nothing ran, and the first leaf that declines
+// should not cost an answer. The hedge bucket starts empty.
 func NewBudget(hedgeShare, retryShare float64) *Budget {
 	b := &Budget{
-		hedge: bucket{perDeposit: hedgeShare, burst: hedgeBurst},
-		retry: bucket{perDeposit: retryShare, burst: retryBurst},
+		hedge: tokenBucket{perDeposit: hedgeShare, burst: hedgeBurst},
+		retry: tokenBucket{perDeposit: retryShare, burst: retryBurst},
 	}
 	if retryShare > 0 {
 		b.retry.tokens = retryBurst
@@ -50,7 +52,7 @@
 	return b
 }
 
-// HedgeFill is how full the hedge bucket is, in [0, 1].
+// HedgeFill returns the fill level of the hedge bucket, in [0, 1].
 func (b *Budget) HedgeFill() float64 { return b.hedge.tokens / b.hedge.burst }
 
 // Deposit credits one first sub-request.
@@ -59,8 +61,8 @@
 	b.retry.deposit()
 }
 
-// TakeHedge spends one hedge; false means that the budget is empty.
+// TakeHedge spends the token of one hedge. It returns false when there is none.
 func (b *Budget) TakeHedge(_ time.Time) bool { return b.hedge.take() }
 
-// TakeRetry spends one retry; false means that the budget is empty.
+// TakeRetry spends the token of one retry. It returns false when there is none.
 func (b *Budget) TakeRetry(_ time.Time) bool { return b.retry.take() }
--- /dev/null
+++ b/kernel/repetition/repeat_limiter.go
@@ -0,0 +1,115 @@
+package repetition
+
+import "time"
+
+// RepeatLimiter limits the repeats that one instance sends to a shard within a
+// sliding window: all sub-requests beyond the first of a request, whatever their
+// cause. The limit applies to the whole fleet,
+// and each instance uses its own part: the ratio times its own requests, plus an
+// equal share of the slack. The parts of all instances together stay within the
+// limit in every window.
+//
+// Create it with NewRepeatLimiter. It is not safe for concurrent use.
+type RepeatLimiter struct {
+	limit    RepeatLimit
+	base     time.Time // start of step 0; times are compared by the monotonic clock
+	requests stepCounts
+	repeats  stepCounts
+}
+
+// RepeatLimit is one instance's part of the fleet's limit on repeats at a shard.
+type RepeatLimit struct {
+	// Ratio is the number of repeats allowed per request.
+	Ratio float64
+	// Slack is this instance's share of the repeats allowed per window whatever
+	// the number of requests.
+	Slack float64
+	// Window is the length of the sliding window.
+	Window time.Duration
+}
+
+// stepsPerWindow is the number of time steps by which a window is counted. Repeats
+// in a step that is only partly within the window still count, so that the limit
+// is strict: their window is effectively longer by up to one step.
+const stepsPerWindow = 20
+
+// stepCounts counts events by time step in a ring buffer.
+type stepCounts struct {
+	counts [stepsPerWindow + 1]int
+	total  int
+	step   int64 // the newest step
+}
+
+// NewRepeatLimiter returns a RepeatLimiter that has counted nothing.
+func NewRepeatLimiter(limit RepeatLimit) *RepeatLimiter { return &RepeatLimiter{limit: limit} }
+
+// SetLimit changes the limit and keeps the counts.
+func (l *RepeatLimiter) SetLimit(limit RepeatLimit) { l.limit = limit }
+
+// CountRequest counts one request to the shard.
+func (l *RepeatLimiter) CountRequest(now time.Time) { l.requests.add(l.stepAt(now)) }
+
+// TakeRepeat reports whether the limit allows one more repeat, and counts it if so.
+func (l *RepeatLimiter) TakeRepeat(now time.Time) bool {
+	step := l.stepAt(now)
+	l.requests.advance(step)
+	l.repeats.advance(step)
+	if float64(l.repeats.total+1) > l.allowed() {
+		return false
+	}
+	l.repeats.add(step)
+	return true
+}
+
+// RemainingRepeats returns how many repeats the limit still allows.
+func (l *RepeatLimiter) RemainingRepeats(now time.Time) float64 {
+	step := l.stepAt(now)
+	l.requests.advance(step)
+	l.repeats.advance(step)
+	return max(0, l.allowed()-float64(l.repeats.total))
+}
+
+// allowed returns the number of repeats allowed in a window. The oldest step may be
+// partly outside the window, so its requests earn nothing.
+func (l *RepeatLimiter) allowed() float64 {
+	return l.limit.Ratio*float64(l.requests.total-l.requests.oldestCount()) + l.limit.Slack
+}
+
+// stepAt returns the number of the step that holds a time.
+func (l *RepeatLimiter) stepAt(now time.Time) int64 {
+	if l.base.IsZero() {
+		l.base = now
+	}
+	return int64(now.Sub(l.base)) / max(1, int64(l.limit.Window)/stepsPerWindow)
+}
+
+// add counts one event in a step.
+func (s *stepCounts) add(step int64) {
+	s.advance(step)
+	s.counts[ringIndex(s.step)]++
+	s.total++
+}
+
+// advance drops the steps that have left the window. A step before the newest one
+// counts as the newest.
+func (s *stepCounts) advance(step int64) {
+	if step <= s.step {
+		return
+	}
+	if step-s.step > stepsPerWindow {
+		*s = stepCounts{step: step}
+		return
+	}
+	for s.step < step {
+		s.step++
+		i := ringIndex(s.step)
+		s.total -= s.counts[i]
+		s.counts[i] = 0
+	}
+}
+
+// oldestCount returns the count of the oldest step kept.
+func (s *stepCounts) oldestCount() int { return s.counts[ringIndex(s.step+1)] }
+
+// ringIndex returns the index of a step in the ring buffer.
+func ringIndex(step int64) int { return int(step % (stepsPerWindow + 1)) }
--- a/kernel/repetition/repetition_test.go
+++ b/kernel/repetition/repetition_test.go
@@ -20,7 +20,7 @@
 	os.Exit(m.Run())
 }
 
-// TestBudgetNeverExceedsItsShare spends whenever it can, at random moments.
+// TestBudgetNeverExceedsItsShare takes tokens at random moments.
 func TestBudgetNeverExceedsItsShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		hedgeShare := rapid.Float64Range(0, 1).Draw(t, "hedge share")
@@ -42,11 +42,11 @@
 				}
 			}
 			const slack = 1e-6
-			saved := 0.0 // the retries that a new budget holds
+			initialRetries := 0.0 // the tokens of a new budget
 			if retryShare > 0 {
-				saved = retryBurst
+				initialRetries = retryBurst
 			}
-			if float64(hedges) > hedgeShare*float64(deposits)+slack || float64(retries) > saved+retryShare*float64(deposits)+slack {
+			if float64(hedges) > hedgeShare*float64(deposits)+slack || float64(retries) > initialRetries+retryShare*float64(deposits)+slack {
 				t.Fatalf("%d hedges and %d retries of %d first sub-requests at shares %v and %v",
 					hedges, retries, deposits, hedgeShare, retryShare)
 			}
@@ -54,8 +54,9 @@
 	})
 }
 
-// TestCalmDoesNotPayForAStorm checks the bound on saved tokens.
-func TestCalmDoesNotPayForAStorm(t *testing.T) {
+// TestBudgetSavesAtMostItsBurst checks that a long time without hedges and retries
+// does not allow a large burst of them later.
+func TestBudgetSavesAtMostItsBurst(t *testing.T) {
 	b := NewBudget(0.05, 0.1)
 	for range 100_000 {
 		b.Deposit()
@@ -68,15 +69,15 @@
 		retries++
 	}
 	if hedges != hedgeBurst || retries != retryBurst {
-		t.Fatalf("%d hedges and %d retries saved up, want %d and %d", hedges, retries, hedgeBurst, retryBurst)
+		t.Fatalf("%d hedges and %d retries after many deposits, want %d and %d", hedges, retries, hedgeBurst, retryBurst)
 	}
 }
 
-// TestQuantileIsWithinOneStep compares the sketch with the sorted observations.
-func TestQuantileIsWithinOneStep(t *testing.T) {
+// TestQuantileIsWithinOneBucket compares the sketch with the sorted observations.
+func TestQuantileIsWithinOneBucket(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var l LatencySketch
-		all := rapid.SliceOfN(rapid.Int64Range(int64(sketchFloor), int64(time.Minute)), sketchLeast, 200).Draw(t, "latencies")
+		all := rapid.SliceOfN(rapid.Int64Range(int64(sketchFloor), int64(time.Minute)), minSketchWeight, 200).Draw(t, "latencies")
 		for _, d := range all {
 			l.Observe(time.Duration(d))
 		}
@@ -94,7 +95,7 @@
 
 func TestQuantileNeedsObservations(t *testing.T) {
 	var l LatencySketch
-	for range sketchLeast - 1 {
+	for range minSketchWeight - 1 {
 		l.Observe(time.Second)
 	}
 	if d := l.Quantile(0.5); d != 0 {
@@ -102,7 +103,7 @@
 	}
 }
 
-func TestSketchForgets(t *testing.T) {
+func TestSketchForgetsOldObservations(t *testing.T) {
 	var l LatencySketch
 	for range 2000 {
 		l.Observe(time.Second)
@@ -111,23 +112,23 @@
 		l.Observe(time.Millisecond)
 	}
 	if d := l.Quantile(0.95); d > 2*time.Millisecond {
-		t.Fatalf("quantile %v long after the slow time, want about 1 ms", d)
+		t.Fatalf("quantile %v long after the last slow observation, want about 1 ms", d)
 	}
 }
 
-func TestFadedPastIsOutweighed(t *testing.T) {
+func TestNewObservationsOutweighCappedWeight(t *testing.T) {
 	var l LatencySketch
 	for range 2000 {
 		l.Observe(time.Second)
 	}
 	l.CapWeight(40)
 	if d := l.Quantile(0.5); d < 900*time.Millisecond {
-		t.Fatalf("median %v right after fading, want what was seen", d)
+		t.Fatalf("median %v right after CapWeight, want about the old observations' 1 s", d)
 	}
 	for range 60 {
 		l.Observe(time.Millisecond)
 	}
 	if d := l.Quantile(0.5); d > 2*time.Millisecond {
-		t.Fatalf("median %v after as many new observations, want the new", d)
+		t.Fatalf("median %v after more new observations than the cap, want about 1 ms", d)
 	}
 }
