--- a/entry/hosted/forwarding/gather.go
+++ b/entry/hosted/forwarding/gather.go
@@ -40,17 +40,17 @@
 	now := time.Now()
 	able := func(zone string) bool { return zone != f.config.Zone && len(f.config.Fleet.Gatherers(zone, now)) > 0 }
 	var out []executor.Group
-	for _, g := range gather.Plan(zonesOf(r.View, away), able, rand.IntN) {
+	for _, g := range gather.PlanGroups(zonesOf(r.View, away), able, rand.IntN) {
 		out = append(out, executor.Group{Zone: g.Zone, Group: query.Group{Upstream: upstream, Ranges: rangesOf(&r.View.Upstreams[upstream], g.Shards)}})
 	}
 	return out
 }
 
 // zonesOf tells in which zones shards could be gathered.
-func zonesOf(v *view.View, away []dispatch.Away) []gather.Shard {
-	out := make([]gather.Shard, 0, len(away))
+func zonesOf(v *view.View, away []dispatch.Away) []gather.RemoteShard {
+	out := make([]gather.RemoteShard, 0, len(away))
 	for _, a := range away {
-		s := gather.Shard{Index: a.Shard}
+		s := gather.RemoteShard{Index: a.Shard}
 		for _, leaf := range a.Leaves {
 			s.Zones = append(s.Zones, v.Leaves[leaf].Zone)
 		}
--- a/kernel/coverage/coverage.go
+++ b/kernel/coverage/coverage.go
@@ -35,8 +35,8 @@
 // Universe is the range that counts as the whole.
 func (g *Grid) Universe() keyrange.Range { return g.universe }
 
-// Cells is the number of cells.
-func (g *Grid) Cells() int { return len(g.starts) }
+// CellCount is the number of cells.
+func (g *Grid) CellCount() int { return len(g.starts) }
 
 // Cell is the range of cell i.
 func (g *Grid) Cell(i int) keyrange.Range {
@@ -46,8 +46,8 @@
 	return keyrange.Range{From: g.starts[i], To: g.universe.To}
 }
 
-// Span returns the cells [first, end) that r touches; first == end when none.
-func (g *Grid) Span(r keyrange.Range) (first, end int) {
+// CellRange returns the cells [first, end) that r touches; first == end when none.
+func (g *Grid) CellRange(r keyrange.Range) (first, end int) {
 	r = r.Intersect(g.universe)
 	if r.Empty() {
 		return 0, 0
@@ -79,11 +79,11 @@
 	covered uint64                // keys
 }
 
-// New returns an empty map over the given universes.
-func New(grids []*Grid) *Map {
+// NewMap returns an empty map over the given universes.
+func NewMap(grids []*Grid) *Map {
 	m := &Map{spaces: make([]space, len(grids))}
 	for i, g := range grids {
-		m.spaces[i] = space{grid: g, whole: make([]bool, g.Cells())}
+		m.spaces[i] = space{grid: g, whole: make([]bool, g.CellCount())}
 	}
 	return m
 }
@@ -92,7 +92,7 @@
 func (m *Map) Add(i int, r keyrange.Range) {
 	s := &m.spaces[i]
 	before := s.covered
-	first, end := s.grid.Span(r)
+	first, end := s.grid.CellRange(r)
 	for c := first; c < end; c++ {
 		s.addCell(c, r.Intersect(s.grid.Cell(c)))
 	}
@@ -137,7 +137,7 @@
 // Overlaps reports whether any key of r is covered.
 func (m *Map) Overlaps(i int, r keyrange.Range) bool {
 	s := &m.spaces[i]
-	first, end := s.grid.Span(r)
+	first, end := s.grid.CellRange(r)
 	for c := first; c < end; c++ {
 		if s.whole[c] {
 			return true
@@ -154,7 +154,7 @@
 func (m *Map) Missing(i int, r keyrange.Range) []keyrange.Range {
 	s := &m.spaces[i]
 	var out []keyrange.Range
-	first, end := s.grid.Span(r)
+	first, end := s.grid.CellRange(r)
 	for c := first; c < end; c++ {
 		part := r.Intersect(s.grid.Cell(c))
 		if s.whole[c] {
@@ -216,8 +216,8 @@
 	return min(m.share, math.Nextafter(1, 0))
 }
 
-// Weight is the share of the whole that a range of a space stands for.
-func (m *Map) Weight(i int, r keyrange.Range) float64 {
+// ShareOf is the share of the whole that a range of a space stands for.
+func (m *Map) ShareOf(i int, r keyrange.Range) float64 {
 	u := m.spaces[i].grid.universe
 	return float64(r.Intersect(u).Size()) / float64(u.Size()) / float64(len(m.spaces))
 }
--- a/kernel/coverage/coverage_test.go
+++ b/kernel/coverage/coverage_test.go
@@ -44,7 +44,7 @@
 			}
 			grids[i] = coverage.NewGrid(universe, shards)
 		}
-		m := coverage.New(grids)
+		m := coverage.NewMap(grids)
 		for range rapid.IntRange(0, 12).Draw(t, "adds") {
 			i, r := rapid.IntRange(0, spaces-1).Draw(t, "space"), drawRange(t)
 			held := false
@@ -105,7 +105,7 @@
 // can't tell the difference.
 func TestShareIsOneOnlyWhenComplete(t *testing.T) {
 	const size = 1 << 60
-	m := coverage.New([]*coverage.Grid{coverage.NewGrid(keyrange.Range{To: size}, nil)})
+	m := coverage.NewMap([]*coverage.Grid{coverage.NewGrid(keyrange.Range{To: size}, nil)})
 	m.Add(0, keyrange.Range{To: size - 1})
 	if m.Share() >= 1 {
 		t.Fatalf("share %v with one key missing", m.Share())
--- a/kernel/gather/gather.go
+++ b/kernel/gather/gather.go
@@ -15,17 +15,17 @@
 	Shards []int // indexes
 }
 
-// Shard is a shard that would be asked of a leaf in another zone.
-type Shard struct {
+// RemoteShard is a shard that would be asked of a leaf in another zone.
+type RemoteShard struct {
 	Index int
 	// Zones are those of its leaves that would be about as good.
 	Zones []string
 }
 
-// Plan groups shards by zone; able says whether a zone has an instance to ask. The zone
+// PlanGroups groups shards by zone; able says whether a zone has an instance to ask. The zone
 // that holds the most of what is left takes all of that; pick chooses one of so many
 // equals. What no group takes is asked directly.
-func Plan(shards []Shard, able func(zone string) bool, pick func(n int) int) []Group {
+func PlanGroups(shards []RemoteShard, able func(zone string) bool, pick func(n int) int) []Group {
 	left := shards
 	var out []Group
 	for len(left) >= leastParts {
@@ -41,7 +41,7 @@
 
 // fullest is the zone with an instance to ask that holds the most of the shards, and
 // which it holds.
-func fullest(shards []Shard, able func(string) bool, pick func(int) int) (zone string, held []int) {
+func fullest(shards []RemoteShard, able func(string) bool, pick func(int) int) (zone string, held []int) {
 	byZone := make(map[string][]int)
 	var zones []string // in the order of their first shard, so that the choice is pick's alone
 	for _, s := range shards {
@@ -74,8 +74,8 @@
 }
 
 // without lists the shards less some, whose indexes are given in the same order.
-func without(shards []Shard, gone []int) []Shard {
-	var out []Shard
+func without(shards []RemoteShard, gone []int) []RemoteShard {
+	var out []RemoteShard
 	for _, s := range shards {
 		if len(gone) > 0 && gone[0] == s.Index {
 			gone = gone[1:]
--- a/kernel/gather/gather_test.go
+++ b/kernel/gather/gather_test.go
@@ -30,11 +30,11 @@
 }
 
 // away lists the shards that have leaves, and none in a zone.
-func away(shards [][]string, own string) []Shard {
-	var out []Shard
+func away(shards [][]string, own string) []RemoteShard {
+	var out []RemoteShard
 	for i, zones := range shards {
 		if len(zones) > 0 && !slices.Contains(zones, own) {
-			out = append(out, Shard{i, zones})
+			out = append(out, RemoteShard{i, zones})
 		}
 	}
 	return out
@@ -65,7 +65,7 @@
 		{"shards without leaves", [][]string{nil, nil, nil, nil, nil}, "a", all, first, nil},
 		{"replicas of one zone", [][]string{{"b", "b"}, {"b", "b"}, {"b", "b"}, {"b", "b"}}, "a", all, first, []Group{{"b", []int{0, 1, 2, 3}}}},
 	} {
-		got := Plan(away(tc.shards, tc.own), tc.able, tc.pick)
+		got := PlanGroups(away(tc.shards, tc.own), tc.able, tc.pick)
 		same := slices.EqualFunc(got, tc.want, func(a, b Group) bool { return a.Zone == b.Zone && slices.Equal(a.Shards, b.Shards) })
 		if !same {
 			t.Errorf("%s: %v, want %v", tc.name, got, tc.want)
@@ -79,16 +79,16 @@
 	rapid.Check(t, func(t *rapid.T) {
 		zone := rapid.SampledFrom([]string{"a", "b", "c", "d"})
 		shards := make(map[int][]string)
-		var list []Shard
+		var list []RemoteShard
 		for i, zones := range rapid.SliceOfN(rapid.SliceOfN(zone, 0, 3), 0, 40).Draw(t, "zones") {
 			if rapid.Bool().Draw(t, "away") {
 				shards[i] = zones
-				list = append(list, Shard{i, zones})
+				list = append(list, RemoteShard{i, zones})
 			}
 		}
 		seen := make(map[int]bool)
 		able := func(z string) bool { return z != "a" }
-		for _, g := range Plan(list, able, func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "pick") }) {
+		for _, g := range PlanGroups(list, able, func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "pick") }) {
 			if len(g.Shards) < leastParts {
 				t.Fatalf("a group of %d", len(g.Shards))
 			}
--- a/kernel/query/part.go
+++ b/kernel/query/part.go
@@ -82,7 +82,7 @@
 	t := m.current()
 	t.lost = 0
 	for i := range m.spaces {
-		m.spaces[i].cells = make([]int, t.grids[i].Cells())
+		m.spaces[i].cells = make([]int, t.grids[i].CellCount())
 		shards := m.shards(i)
 		if !m.idempotent() && len(shards) > 1 {
 			shards = shards[:1]
@@ -113,7 +113,7 @@
 // addPart files a part under the cells it touches, cut at their borders.
 func (m *Machine) addPart(p part) {
 	grid := m.current().grids[p.space]
-	first, end := grid.Span(p.need)
+	first, end := grid.CellRange(p.need)
 	for c := first; c < end; c++ {
 		piece := p
 		piece.need = p.need.Intersect(grid.Cell(c))
@@ -222,7 +222,7 @@
 	}
 	t := m.current()
 	for _, r := range t.covered.Missing(p.space, p.need) {
-		p.lost += t.covered.Weight(p.space, r)
+		p.lost += t.covered.ShareOf(p.space, r)
 	}
 	m.given += p.lost
 	p.forVersion = reason == string(ReasonWrongVersion) || slices.ContainsFunc(m.leaves(p), m.lacks)
--- a/kernel/query/reply.go
+++ b/kernel/query/reply.go
@@ -88,7 +88,7 @@
 func (m *Machine) partsAt(space int, ranges []keyrange.Range) []int {
 	var out []int
 	for _, r := range ranges {
-		first, end := m.current().grids[space].Span(r)
+		first, end := m.current().grids[space].CellRange(r)
 		for c := first; c < end; c++ {
 			for i := m.spaces[space].cells[c] - 1; i >= 0; i = m.parts[i].next - 1 {
 				out = append(out, i)
--- a/kernel/query/version.go
+++ b/kernel/query/version.go
@@ -33,7 +33,7 @@
 func (m *Machine) tally(version uint64) *tally {
 	t := m.tallies[version]
 	if t == nil {
-		t = &tally{grids: m.grids, covered: coverage.New(m.grids), results: make([]stored, 0, len(m.parts))}
+		t = &tally{grids: m.grids, covered: coverage.NewMap(m.grids), results: make([]stored, 0, len(m.parts))}
 		m.tallies[version] = t
 	}
 	return t
