--- a/kernel/repetition/repeat_limiter.go
+++ b/kernel/repetition/repeat_limiter.go
@@ -4,10 +4,9 @@
 
 // RepeatLimiter limits the repeats that one instance sends to a shard within a
 // sliding window: all sub-requests beyond the first of a request, whatever their
-// cause. The limit applies to the whole fleet,
-// and each instance uses its own part: the ratio times its own requests, plus an
-// equal share of the slack. The parts of all instances together stay within the
-// limit in every window.
+// cause. The limit applies to the whole fleet, and each instance uses its own part:
+// the ratio times its own requests, plus an equal share of the slack. The parts of
+// all instances together stay within the limit in every window.
 //
 // Create it with NewRepeatLimiter. It is not safe for concurrent use.
 type RepeatLimiter struct {
