--- a/kernel/gather/gather.go
+++ b/kernel/gather/gather.go
@@ -1,49 +1,53 @@
-// Package gather decides which parts of a query over many shards another instance is
-// to gather. Bytes between availability zones are dear: a shard that would be asked
-// of a leaf in another zone, since none in the own one is there or fast enough, is
-// asked by an instance of that zone, which merges all that it gathered into one reply.
+// Package gather plans which shards of a query are gathered by instances in other
+// availability zones. Traffic between zones is expensive. A shard whose sub-request
+// would go to a leaf in another zone, because no leaf in the own zone is available or
+// fast enough, is delegated to an instance of that zone. That instance merges all
+// replies that it gathers into one.
 package gather
 
-// leastParts is the number of parts from which a group pays whatever their size: four
-// parts with their requests are 1.5 to 5.1 KB, and the messages of a group of four 0.8 to
-// 1.7 KB (TestGroupPaysFromFourParts).
-const leastParts = 4
+// minGroupSize is the number of shards from which delegating a group saves bytes between
+// zones, whatever the size of their replies: four sub-requests with their replies are
+// 1.5 to 5.1 KB, and the messages of a group of four 0.8 to 1.7 KB
+// (TestGroupPaysFromFourParts).
+const minGroupSize = 4
 
-// Group is the work of one zone.
+// Group is the shards that an instance of one zone is to gather.
 type Group struct {
 	Zone   string
 	Shards []int // indexes
 }
 
-// RemoteShard is a shard that would be asked of a leaf in another zone.
+// RemoteShard is a shard whose sub-request would go to a leaf in another zone.
 type RemoteShard struct {
 	Index int
-	// Zones are those of its leaves that would be about as good.
+	// Zones are the zones of its leaves that are about equally good choices.
 	Zones []string
 }
 
-// PlanGroups groups shards by zone; able says whether a zone has an instance to ask. The zone
-// that holds the most of what is left takes all of that; pick chooses one of so many
-// equals. What no group takes is asked directly.
-func PlanGroups(shards []RemoteShard, able func(zone string) bool, pick func(n int) int) []Group {
-	left := shards
-	var out []Group
-	for len(left) >= leastParts {
-		zone, held := fullest(left, able, pick)
-		if len(held) < leastParts {
+// PlanGroups groups shards by zone. It repeatedly takes the zone that has the most of
+// the remaining shards and puts all of those into its group, while groups have at least
+// minGroupSize shards. The remaining shards are in no group and are queried directly.
+// hasGatherer reports whether a zone has an instance that can gather; pick returns an
+// index in [0, n), to choose among n zones with equally many shards.
+func PlanGroups(shards []RemoteShard, hasGatherer func(zone string) bool, pick func(n int) int) []Group {
+	remaining := shards
+	var groups []Group
+	for len(remaining) >= minGroupSize {
+		zone, zoneShards := largestGroup(remaining, hasGatherer, pick)
+		if len(zoneShards) < minGroupSize {
 			break
 		}
-		out = append(out, Group{Zone: zone, Shards: held})
-		left = without(left, held)
+		groups = append(groups, Group{Zone: zone, Shards: zoneShards})
+		remaining = removeShards(remaining, zoneShards)
 	}
-	return out
+	return groups
 }
 
-// fullest is the zone with an instance to ask that holds the most of the shards, and
-// which it holds.
-func fullest(shards []RemoteShard, able func(string) bool, pick func(int) int) (zone string, held []int) {
+// largestGroup returns the zone that has the most of the shards and the indexes of
+// these, among the zones with a gatherer. The zone is empty when there is none.
+func largestGroup(shards []RemoteShard, hasGatherer func(string) bool, pick func(int) int) (zone string, zoneShards []int) {
 	byZone := make(map[string][]int)
-	var zones []string // in the order of their first shard, so that the choice is pick's alone
+	var zones []string // ordered by first shard, so that only pick decides between equals
 	for _, s := range shards {
 		for _, z := range s.Zones {
 			if byZone[z] == nil {
@@ -54,15 +58,15 @@
 			}
 		}
 	}
-	most := 0
+	largest := 0
 	var best []string
 	for _, z := range zones {
 		n := len(byZone[z])
-		if n < most || !able(z) {
+		if n < largest || !hasGatherer(z) {
 			continue
 		}
-		if n > most {
-			most, best = n, nil
+		if n > largest {
+			largest, best = n, nil
 		}
 		best = append(best, z)
 	}
@@ -73,12 +77,13 @@
 	return zone, byZone[zone]
 }
 
-// without lists the shards less some, whose indexes are given in the same order.
-func without(shards []RemoteShard, gone []int) []RemoteShard {
+// removeShards returns the shards except those with the removed indexes, which are in
+// the same order as the shards.
+func removeShards(shards []RemoteShard, removed []int) []RemoteShard {
 	var out []RemoteShard
 	for _, s := range shards {
-		if len(gone) > 0 && gone[0] == s.Index {
-			gone = gone[1:]
+		if len(removed) > 0 && removed[0] == s.Index {
+			removed = removed[1:]
 			continue
 		}
 		out = append(out, s)
--- a/kernel/gather/gather_test.go
+++ b/kernel/gather/gather_test.go
@@ -19,8 +19,9 @@
 	os.Exit(m.Run())
 }
 
-// turns returns n shards of two leaves each, in two of the three zones by turns.
-func turns(n int) [][]string {
+// rotatedZones returns the zones of n shards of two leaves each, which are in two of
+// the three zones in rotation.
+func rotatedZones(n int) [][]string {
 	var out [][]string
 	zones := []string{"a", "b", "c"}
 	for i := range n {
@@ -29,43 +30,43 @@
 	return out
 }
 
-// away lists the shards that have leaves, and none in a zone.
-func away(shards [][]string, own string) []RemoteShard {
+// remoteShards returns the shards that have leaves, but none in ownZone.
+func remoteShards(shards [][]string, ownZone string) []RemoteShard {
 	var out []RemoteShard
 	for i, zones := range shards {
-		if len(zones) > 0 && !slices.Contains(zones, own) {
+		if len(zones) > 0 && !slices.Contains(zones, ownZone) {
 			out = append(out, RemoteShard{i, zones})
 		}
 	}
 	return out
 }
 
-func all(string) bool     { return true }
-func first(n int) int     { return 0 }
-func last(n int) int      { return n - 1 }
-func none(string) bool    { return false }
-func onlyC(z string) bool { return z == "c" }
+func anyZone(string) bool     { return true }
+func pickFirst(n int) int     { return 0 }
+func pickLast(n int) int      { return n - 1 }
+func noZone(string) bool      { return false }
+func onlyZoneC(z string) bool { return z == "c" }
 
-// TestPlan checks who gathers what.
-func TestPlan(t *testing.T) {
+// TestPlanGroups checks the zone and the shards of each group.
+func TestPlanGroups(t *testing.T) {
 	for _, tc := range []struct {
-		name   string
-		shards [][]string
-		own    string
-		able   func(string) bool
-		pick   func(int) int
-		want   []Group
+		name        string
+		shards      [][]string
+		ownZone     string
+		hasGatherer func(string) bool
+		pick        func(int) int
+		want        []Group
 	}{
-		{"a third is elsewhere", turns(12), "a", all, first, []Group{{"b", []int{1, 4, 7, 10}}}},
-		{"the other of two equals", turns(12), "a", all, last, []Group{{"c", []int{1, 4, 7, 10}}}},
-		{"one zone has nobody to ask", turns(12), "a", onlyC, first, []Group{{"c", []int{1, 4, 7, 10}}}},
-		{"nobody to ask", turns(12), "a", none, first, nil},
-		{"too few", turns(9), "a", all, first, nil},
-		{"no leaf in the own zone", turns(6), "d", all, first, []Group{{"a", []int{0, 2, 3, 5}}}},
-		{"shards without leaves", [][]string{nil, nil, nil, nil, nil}, "a", all, first, nil},
-		{"replicas of one zone", [][]string{{"b", "b"}, {"b", "b"}, {"b", "b"}, {"b", "b"}}, "a", all, first, []Group{{"b", []int{0, 1, 2, 3}}}},
+		{"a third of the shards is remote", rotatedZones(12), "a", anyZone, pickFirst, []Group{{"b", []int{1, 4, 7, 10}}}},
+		{"pick chooses the last of two equals", rotatedZones(12), "a", anyZone, pickLast, []Group{{"c", []int{1, 4, 7, 10}}}},
+		{"one of two zones has a gatherer", rotatedZones(12), "a", onlyZoneC, pickFirst, []Group{{"c", []int{1, 4, 7, 10}}}},
+		{"no gatherer", rotatedZones(12), "a", noZone, pickFirst, nil},
+		{"too few shards for a group", rotatedZones(9), "a", anyZone, pickFirst, nil},
+		{"no leaf in the own zone", rotatedZones(6), "d", anyZone, pickFirst, []Group{{"a", []int{0, 2, 3, 5}}}},
+		{"shards without leaves", [][]string{nil, nil, nil, nil, nil}, "a", anyZone, pickFirst, nil},
+		{"both replicas in one zone", [][]string{{"b", "b"}, {"b", "b"}, {"b", "b"}, {"b", "b"}}, "a", anyZone, pickFirst, []Group{{"b", []int{0, 1, 2, 3}}}},
 	} {
-		got := PlanGroups(away(tc.shards, tc.own), tc.able, tc.pick)
+		got := PlanGroups(remoteShards(tc.shards, tc.ownZone), tc.hasGatherer, tc.pick)
 		same := slices.EqualFunc(got, tc.want, func(a, b Group) bool { return a.Zone == b.Zone && slices.Equal(a.Shards, b.Shards) })
 		if !same {
 			t.Errorf("%s: %v, want %v", tc.name, got, tc.want)
@@ -73,9 +74,9 @@
 	}
 }
 
-// TestPlanTakesEachShardOnce draws shards, and checks that no shard is in two groups,
-// that all are away, and that each group's zone holds its shards.
-func TestPlanTakesEachShardOnce(t *testing.T) {
+// TestPlanGroupsTakesEachShardOnce checks that no shard is in two groups, that all are
+// remote, and that each group's zone has leaves of its shards and a gatherer.
+func TestPlanGroupsTakesEachShardOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zone := rapid.SampledFrom([]string{"a", "b", "c", "d"})
 		shards := make(map[int][]string)
@@ -87,10 +88,10 @@
 			}
 		}
 		seen := make(map[int]bool)
-		able := func(z string) bool { return z != "a" }
-		for _, g := range PlanGroups(list, able, func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "pick") }) {
-			if len(g.Shards) < leastParts {
-				t.Fatalf("a group of %d", len(g.Shards))
+		hasGatherer := func(z string) bool { return z != "a" }
+		for _, g := range PlanGroups(list, hasGatherer, func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "pick") }) {
+			if len(g.Shards) < minGroupSize {
+				t.Fatalf("a group of %d shards", len(g.Shards))
 			}
 			for _, i := range g.Shards {
 				if seen[i] || g.Zone == "a" || !slices.Contains(shards[i], g.Zone) {
