--- a/kernel/coverage/coverage.go
+++ b/kernel/coverage/coverage.go
@@ -1,5 +1,5 @@
-// Package coverage computes which keys of a query are covered, from the ranges
-// that accepted replies state and from nothing else.
+// Package coverage computes which keys of a query are covered, solely from the
+// ranges that accepted replies report.
 package coverage
 
 import (
@@ -9,15 +9,16 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/keyrange"
 )
 
-// Grid cuts one upstream's universe into cells, so that an addition costs
-// O(log cells) however many ranges are held. The cells are a matter of speed
-// only: they never say that anything is covered. A Grid is immutable.
+// Grid divides the universe, the whole key range, of one upstream into cells, so that
+// adding a range costs O(log cells) whatever the number of ranges held. The cells
+// only serve lookup speed and have no influence on what is covered. A Grid is
+// immutable.
 type Grid struct {
 	universe keyrange.Range
 	starts   []uint64 // sorted, the first is universe.From
 }
 
-// NewGrid cuts the universe at the start of each given shard.
+// NewGrid returns a Grid with a cell boundary at the start of each given shard.
 func NewGrid(universe keyrange.Range, shards []keyrange.Range) *Grid {
 	starts := make([]uint64, 0, len(shards)+1)
 	starts = append(starts, universe.From)
@@ -32,13 +33,13 @@
 	return &Grid{universe: universe, starts: slices.Compact(starts)}
 }
 
-// Universe is the range that counts as the whole.
+// Universe returns the whole key range of the upstream.
 func (g *Grid) Universe() keyrange.Range { return g.universe }
 
-// CellCount is the number of cells.
+// CellCount returns the number of cells.
 func (g *Grid) CellCount() int { return len(g.starts) }
 
-// Cell is the range of cell i.
+// Cell returns the key range of cell i.
 func (g *Grid) Cell(i int) keyrange.Range {
 	if i+1 < len(g.starts) {
 		return keyrange.Range{From: g.starts[i], To: g.starts[i+1]}
@@ -46,7 +47,8 @@
 	return keyrange.Range{From: g.starts[i], To: g.universe.To}
 }
 
-// CellRange returns the cells [first, end) that r touches; first == end when none.
+// CellRange returns the indexes [first, end) of the cells that overlap r; first ==
+// end when there are none.
 func (g *Grid) CellRange(r keyrange.Range) (first, end int) {
 	r = r.Intersect(g.universe)
 	if r.Empty() {
@@ -63,137 +65,138 @@
 	return first, end
 }
 
-// Map is the covered keys of one query at one index version, over one or more
-// upstreams, each weighing the same. Spaces are addressed by index.
+// Map holds the covered keys of one query at one index version, over one or more
+// upstreams of equal weight. A space is the universe of one upstream, addressed by
+// its index in the grids of NewMap.
 type Map struct {
-	spaces []space
-	full   int     // spaces covered whole
-	share  float64 // running sum; exact only as far as floats go
+	spaces     []space
+	fullSpaces int     // number of spaces covered completely
+	share      float64 // running sum, subject to floating-point rounding
 }
 
-// space is the covered keys of one upstream.
+// space holds the covered keys of one upstream.
 type space struct {
-	grid    *Grid
-	whole   []bool                // by cell: covered whole
-	partial map[int]*keyrange.Set // by cell: what is covered of it
-	covered uint64                // keys
+	grid         *Grid
+	fullCells    []bool                // by cell: covered completely
+	partialCells map[int]*keyrange.Set // by cell: the covered keys of a partly covered one
+	coveredKeys  uint64                // number of keys
 }
 
-// NewMap returns an empty map over the given universes.
+// NewMap returns an empty map over the universes of the given grids.
 func NewMap(grids []*Grid) *Map {
 	m := &Map{spaces: make([]space, len(grids))}
 	for i, g := range grids {
-		m.spaces[i] = space{grid: g, whole: make([]bool, g.CellCount())}
+		m.spaces[i] = space{grid: g, fullCells: make([]bool, g.CellCount())}
 	}
 	return m
 }
 
-// Add covers the keys of r, as far as they lie in the universe.
+// Add marks the keys of r that are in the universe of space i as covered.
 func (m *Map) Add(i int, r keyrange.Range) {
 	s := &m.spaces[i]
-	before := s.covered
+	before := s.coveredKeys
 	first, end := s.grid.CellRange(r)
 	for c := first; c < end; c++ {
 		s.addCell(c, r.Intersect(s.grid.Cell(c)))
 	}
-	if s.covered == before {
+	if s.coveredKeys == before {
 		return
 	}
 	size := s.grid.universe.Size()
-	m.share += float64(s.covered-before) / float64(size) / float64(len(m.spaces))
-	if s.covered == size {
-		m.full++
+	m.share += float64(s.coveredKeys-before) / float64(size) / float64(len(m.spaces))
+	if s.coveredKeys == size {
+		m.fullSpaces++
 	}
 }
 
-// addCell covers keys of one cell.
+// addCell marks the keys of r, which is within cell c, as covered.
 func (s *space) addCell(c int, r keyrange.Range) {
-	if s.whole[c] {
+	if s.fullCells[c] {
 		return
 	}
 	cell := s.grid.Cell(c)
-	set := s.partial[c]
+	set := s.partialCells[c]
 	if set == nil && r == cell {
-		s.whole[c] = true
-		s.covered += cell.Size()
+		s.fullCells[c] = true
+		s.coveredKeys += cell.Size()
 		return
 	}
 	if set == nil {
-		if s.partial == nil {
-			s.partial = make(map[int]*keyrange.Set)
+		if s.partialCells == nil {
+			s.partialCells = make(map[int]*keyrange.Set)
 		}
 		set = &keyrange.Set{}
-		s.partial[c] = set
+		s.partialCells[c] = set
 	}
 	before := set.Size()
 	set.Add(r)
-	s.covered += set.Size() - before
+	s.coveredKeys += set.Size() - before
 	if set.Size() == cell.Size() {
-		s.whole[c] = true
-		delete(s.partial, c)
+		s.fullCells[c] = true
+		delete(s.partialCells, c)
 	}
 }
 
-// Overlaps reports whether any key of r is covered.
+// Overlaps reports whether any key of r in space i is covered.
 func (m *Map) Overlaps(i int, r keyrange.Range) bool {
 	s := &m.spaces[i]
 	first, end := s.grid.CellRange(r)
 	for c := first; c < end; c++ {
-		if s.whole[c] {
+		if s.fullCells[c] {
 			return true
 		}
-		if set := s.partial[c]; set != nil && set.Overlaps(r.Intersect(s.grid.Cell(c))) {
+		if set := s.partialCells[c]; set != nil && set.Overlaps(r.Intersect(s.grid.Cell(c))) {
 			return true
 		}
 	}
 	return false
 }
 
-// Missing returns the parts of r within the universe that are not covered, in
-// order; touching ones are joined.
+// Missing returns the parts of r within the universe of space i that are not covered,
+// in order, with adjacent ranges merged.
 func (m *Map) Missing(i int, r keyrange.Range) []keyrange.Range {
 	s := &m.spaces[i]
 	var out []keyrange.Range
 	first, end := s.grid.CellRange(r)
 	for c := first; c < end; c++ {
 		part := r.Intersect(s.grid.Cell(c))
-		if s.whole[c] {
+		if s.fullCells[c] {
 			continue
 		}
-		if set := s.partial[c]; set != nil {
+		if set := s.partialCells[c]; set != nil {
 			for _, gap := range set.Missing(part) {
-				out = join(out, gap)
+				out = appendMerged(out, gap)
 			}
 			continue
 		}
-		out = join(out, part)
+		out = appendMerged(out, part)
 	}
 	return out
 }
 
-// Covers reports whether every key of r within the universe is covered.
+// Covers reports whether every key of r within the universe of space i is covered.
 func (m *Map) Covers(i int, r keyrange.Range) bool { return len(m.Missing(i, r)) == 0 }
 
-// Ranges returns what is covered of a space, in order; touching ranges are joined.
+// Ranges returns the covered ranges of space i, in order, with adjacent ranges merged.
 func (m *Map) Ranges(i int) []keyrange.Range {
 	s := &m.spaces[i]
 	var out []keyrange.Range
-	for c := range s.whole {
-		if s.whole[c] {
-			out = join(out, s.grid.Cell(c))
+	for c := range s.fullCells {
+		if s.fullCells[c] {
+			out = appendMerged(out, s.grid.Cell(c))
 			continue
 		}
-		if set := s.partial[c]; set != nil {
+		if set := s.partialCells[c]; set != nil {
 			for _, r := range set.Ranges() {
-				out = join(out, r)
+				out = appendMerged(out, r)
 			}
 		}
 	}
 	return out
 }
 
-// join appends r, or lengthens the last range when they touch.
-func join(out []keyrange.Range, r keyrange.Range) []keyrange.Range {
+// appendMerged appends r, or extends the last range when r starts at its end.
+func appendMerged(out []keyrange.Range, r keyrange.Range) []keyrange.Range {
 	if n := len(out); n > 0 && out[n-1].To == r.From {
 		out[n-1].To = r.To
 		return out
@@ -202,13 +205,13 @@
 }
 
 // Complete reports whether every key of every space is covered.
-func (m *Map) Complete() bool { return m.full == len(m.spaces) }
+func (m *Map) Complete() bool { return m.fullSpaces == len(m.spaces) }
 
 // Empty reports whether no key is covered.
 func (m *Map) Empty() bool { return m.share == 0 }
 
-// Share is the covered part of the whole in [0, 1]; each space weighs the
-// same. It is 1 exactly when the map is complete.
+// Share returns the covered share of all keys in [0, 1], with equal weight for each
+// space. It is 1 if and only if the map is complete.
 func (m *Map) Share() float64 {
 	if m.Complete() {
 		return 1
@@ -216,7 +219,8 @@
 	return min(m.share, math.Nextafter(1, 0))
 }
 
-// ShareOf is the share of the whole that a range of a space stands for.
+// ShareOf returns the share that the keys of r in space i, covered or not, contribute
+// to Share when they are covered.
 func (m *Map) ShareOf(i int, r keyrange.Range) float64 {
 	u := m.spaces[i].grid.universe
 	return float64(r.Intersect(u).Size()) / float64(u.Size()) / float64(len(m.spaces))
--- a/kernel/coverage/coverage_test.go
+++ b/kernel/coverage/coverage_test.go
@@ -29,14 +29,14 @@
 	return keyrange.Range{From: rapid.Uint64Range(0, spaceSize+5).Draw(t, "from"), To: rapid.Uint64Range(0, spaceSize+5).Draw(t, "to")}
 }
 
-// TestMapAgreesWithBitmap compares a map of any grid with a bitmap: the cells
-// must not show in any result.
+// TestMapAgreesWithBitmap compares maps over random grids with a bitmap: the cells
+// must not affect any result.
 func TestMapAgreesWithBitmap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		spaces := rapid.IntRange(1, 3).Draw(t, "spaces")
 		universe := keyrange.Range{From: rapid.Uint64Range(0, 5).Draw(t, "universe"), To: spaceSize}
 		grids := make([]*coverage.Grid, spaces)
-		bits := make([][spaceSize + 5]bool, spaces)
+		bitmaps := make([][spaceSize + 5]bool, spaces)
 		for i := range grids {
 			var shards []keyrange.Range
 			for range rapid.IntRange(0, 6).Draw(t, "cells") {
@@ -47,35 +47,35 @@
 		m := coverage.NewMap(grids)
 		for range rapid.IntRange(0, 12).Draw(t, "adds") {
 			i, r := rapid.IntRange(0, spaces-1).Draw(t, "space"), drawRange(t)
-			held := false
+			overlaps := false
 			for k := max(r.From, universe.From); k < min(r.To, universe.To); k++ {
-				held = held || bits[i][k]
-				bits[i][k] = true
+				overlaps = overlaps || bitmaps[i][k]
+				bitmaps[i][k] = true
 			}
-			if got := m.Overlaps(i, r); got != held {
-				t.Fatalf("overlaps %v: %v, want %v", r, got, held)
+			if got := m.Overlaps(i, r); got != overlaps {
+				t.Fatalf("overlaps %v: %v, want %v", r, got, overlaps)
 			}
 			m.Add(i, r)
 		}
 		share, complete := 0.0, true
 		for i := range grids {
 			var want, gaps []keyrange.Range
-			ask := drawRange(t)
+			queried := drawRange(t)
 			for k := universe.From; k < universe.To; k++ {
-				if bits[i][k] {
-					want = extend(want, k)
-				} else if ask.From <= k && k < ask.To {
-					gaps = extend(gaps, k)
+				if bitmaps[i][k] {
+					want = appendKey(want, k)
+				} else if queried.From <= k && k < queried.To {
+					gaps = appendKey(gaps, k)
 				}
 			}
 			if got := m.Ranges(i); !slices.Equal(got, want) {
 				t.Fatalf("space %d: ranges %v, want %v", i, got, want)
 			}
-			if got := m.Missing(i, ask); !slices.Equal(got, gaps) {
-				t.Fatalf("space %d: missing of %v: %v, want %v", i, ask, got, gaps)
+			if got := m.Missing(i, queried); !slices.Equal(got, gaps) {
+				t.Fatalf("space %d: missing of %v: %v, want %v", i, queried, got, gaps)
 			}
-			if got := m.Covers(i, ask); got != (len(gaps) == 0) {
-				t.Fatalf("space %d: covers %v: %v", i, ask, got)
+			if got := m.Covers(i, queried); got != (len(gaps) == 0) {
+				t.Fatalf("space %d: covers %v: %v", i, queried, got)
 			}
 			var n uint64
 			for _, r := range want {
@@ -93,7 +93,8 @@
 	})
 }
 
-func extend(out []keyrange.Range, k uint64) []keyrange.Range {
+// appendKey appends the range of key k, or extends the last range when k follows it.
+func appendKey(out []keyrange.Range, k uint64) []keyrange.Range {
 	if n := len(out); n > 0 && out[n-1].To == k {
 		out[n-1].To++
 		return out
@@ -101,8 +102,8 @@
 	return append(out, keyrange.Range{From: k, To: k + 1})
 }
 
-// TestShareIsOneOnlyWhenComplete leaves out one key of so many that a float
-// can't tell the difference.
+// TestShareIsOneOnlyWhenComplete checks that Share is below 1 when one key is missing
+// of so many that the quotient rounds to 1.
 func TestShareIsOneOnlyWhenComplete(t *testing.T) {
 	const size = 1 << 60
 	m := coverage.NewMap([]*coverage.Grid{coverage.NewGrid(keyrange.Range{To: size}, nil)})
@@ -112,6 +113,6 @@
 	}
 	m.Add(0, keyrange.Range{From: size - 1, To: size})
 	if m.Share() != 1 {
-		t.Fatalf("share %v at the end", m.Share())
+		t.Fatalf("share %v with all keys covered", m.Share())
 	}
 }
