--- a/kernel/keyrange/keyrange.go
+++ b/kernel/keyrange/keyrange.go
@@ -1,5 +1,6 @@
-// Package keyrange is the algebra of key ranges: half-open intervals of a
-// shard's key space and sets of them. Coverage is computed with it.
+// Package keyrange has key ranges, half-open intervals of a key space, and sets of
+// them, with operations such as union, intersection and difference. Package
+// coverage computes the coverage of queries with it.
 package keyrange
 
 import (
@@ -18,7 +19,7 @@
 // Empty reports whether the range holds no key.
 func (r Range) Empty() bool { return r.From >= r.To }
 
-// Size is the number of keys in the range.
+// Size returns the number of keys in the range.
 func (r Range) Size() uint64 {
 	if r.Empty() {
 		return 0
@@ -26,7 +27,7 @@
 	return r.To - r.From
 }
 
-// Overlaps reports whether the two ranges share a key.
+// Overlaps reports whether the two ranges have a key in common.
 func (r Range) Overlaps(o Range) bool {
 	return !r.Empty() && !o.Empty() && r.From < o.To && o.From < r.To
 }
@@ -36,7 +37,8 @@
 	return o.Empty() || (r.From <= o.From && o.To <= r.To)
 }
 
-// Intersect returns the keys in both ranges; the zero Range when there are none.
+// Intersect returns the range of the keys in both ranges, or the zero Range when
+// there are none.
 func (r Range) Intersect(o Range) Range {
 	x := Range{From: max(r.From, o.From), To: min(r.To, o.To)}
 	if x.Empty() {
@@ -45,12 +47,12 @@
 	return x
 }
 
-// String writes the range as "from-to" in decimal, the form of Parse.
+// String returns the range as "from-to" in decimal, the format of Parse.
 func (r Range) String() string {
 	return strconv.FormatUint(r.From, 10) + "-" + strconv.FormatUint(r.To, 10)
 }
 
-// Parse reads the form that String writes. An empty or reversed range is an error.
+// Parse parses the format of String. An empty or reversed range is an error.
 func Parse(s string) (Range, error) {
 	from, to, ok := strings.Cut(s, "-")
 	if !ok {
@@ -70,7 +72,7 @@
 	return r, nil
 }
 
-// FormatList writes ranges as "a-b,c-d", the form of ParseList.
+// FormatList returns ranges as "a-b,c-d", the format of ParseList.
 func FormatList(rs []Range) string {
 	parts := make([]string, len(rs))
 	for i, r := range rs {
@@ -79,7 +81,7 @@
 	return strings.Join(parts, ",")
 }
 
-// ParseList reads a comma-separated list of ranges. The empty string is the empty list.
+// ParseList parses a comma-separated list of ranges. The empty string is the empty list.
 func ParseList(s string) ([]Range, error) {
 	if s == "" {
 		return nil, nil
--- a/kernel/keyrange/keyrange_test.go
+++ b/kernel/keyrange/keyrange_test.go
@@ -21,10 +21,10 @@
 	os.Exit(m.Run())
 }
 
-const space = 48
+const spaceSize = 48
 
 // bitmap is the brute-force model of a Set.
-type bitmap [space]bool
+type bitmap [spaceSize]bool
 
 func (b *bitmap) add(r keyrange.Range) {
 	for k := r.From; k < r.To; k++ {
@@ -32,7 +32,7 @@
 	}
 }
 
-// runs returns the maximal ranges of keys in r whose state is want.
+// runs returns the maximal ranges of keys in r whose bit is want.
 func (b *bitmap) runs(r keyrange.Range, want bool) []keyrange.Range {
 	var out []keyrange.Range
 	for k := r.From; k < r.To; k++ {
@@ -49,7 +49,7 @@
 }
 
 func drawRange(t *rapid.T) keyrange.Range {
-	return keyrange.Range{From: rapid.Uint64Range(0, space).Draw(t, "from"), To: rapid.Uint64Range(0, space).Draw(t, "to")}
+	return keyrange.Range{From: rapid.Uint64Range(0, spaceSize).Draw(t, "from"), To: rapid.Uint64Range(0, spaceSize).Draw(t, "to")}
 }
 
 func TestSetAgreesWithBitmap(t *testing.T) {
@@ -61,20 +61,20 @@
 			set.Add(r)
 			model.add(r)
 		}
-		all := keyrange.Range{To: space}
+		all := keyrange.Range{To: spaceSize}
 		if got, want := set.Ranges(), model.runs(all, true); !slices.Equal(got, want) {
 			t.Fatalf("ranges %v, want %v", got, want)
 		}
-		ask := drawRange(t)
-		missing := model.runs(ask, false)
-		if got := set.Missing(ask); !slices.Equal(got, missing) {
-			t.Fatalf("missing of %v: %v, want %v", ask, got, missing)
+		queried := drawRange(t)
+		missing := model.runs(queried, false)
+		if got := set.Missing(queried); !slices.Equal(got, missing) {
+			t.Fatalf("missing of %v: %v, want %v", queried, got, missing)
 		}
-		if got, want := set.Overlaps(ask), len(model.runs(ask, true)) > 0; got != want {
-			t.Fatalf("overlaps %v: %v, want %v", ask, got, want)
+		if got, want := set.Overlaps(queried), len(model.runs(queried, true)) > 0; got != want {
+			t.Fatalf("overlaps %v: %v, want %v", queried, got, want)
 		}
-		if got, want := set.Contains(ask), len(missing) == 0; got != want {
-			t.Fatalf("contains %v: %v, want %v", ask, got, want)
+		if got, want := set.Contains(queried), len(missing) == 0; got != want {
+			t.Fatalf("contains %v: %v, want %v", queried, got, want)
 		}
 	})
 }
@@ -112,12 +112,12 @@
 		}
 		for _, r := range list {
 			if r.Empty() {
-				t.Fatalf("%q gave the empty range %v", s, r)
+				t.Fatalf("%q parsed to the empty range %v", s, r)
 			}
 		}
-		again, err := keyrange.ParseList(keyrange.FormatList(list))
-		if err != nil || !slices.Equal(list, again) {
-			t.Fatalf("%q: %v became %v, %v", s, list, again, err)
+		reparsed, err := keyrange.ParseList(keyrange.FormatList(list))
+		if err != nil || !slices.Equal(list, reparsed) {
+			t.Fatalf("%q: %v became %v, %v", s, list, reparsed, err)
 		}
 	})
 }
@@ -130,11 +130,11 @@
 		var set keyrange.Set
 		var model bitmap
 		for i := 0; i+1 < len(data); i += 2 {
-			r := keyrange.Range{From: uint64(data[i]) % space, To: uint64(data[i+1]) % space}
+			r := keyrange.Range{From: uint64(data[i]) % spaceSize, To: uint64(data[i+1]) % spaceSize}
 			set.Add(r)
 			model.add(r)
 		}
-		want := model.runs(keyrange.Range{To: space}, true)
+		want := model.runs(keyrange.Range{To: spaceSize}, true)
 		if got := set.Ranges(); !slices.Equal(got, want) {
 			t.Fatalf("ranges %v, want %v", got, want)
 		}
--- a/kernel/keyrange/set.go
+++ b/kernel/keyrange/set.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// Set is a set of keys held as sorted, disjoint, non-touching ranges. The
-// zero value is the empty set. Add costs O(n) moves in the worst case, where n
-// is the number of ranges held, and O(log n) comparisons.
+// Set is a set of keys, stored as sorted, disjoint, non-adjacent ranges. The zero
+// value is the empty set. With n ranges, Add costs O(log n) comparisons to find its
+// place, and O(n) moves in the worst case.
 type Set struct {
 	ranges []Range
 }
@@ -21,7 +21,7 @@
 // Ranges returns the set's ranges in order. The caller must not change them.
 func (s *Set) Ranges() []Range { return s.ranges }
 
-// Size is the number of keys in the set.
+// Size returns the number of keys in the set.
 func (s *Set) Size() uint64 {
 	var n uint64
 	for _, r := range s.ranges {
@@ -30,8 +30,8 @@
 	return n
 }
 
-// first returns the index of the first range that ends at or after key.
-func (s *Set) first(key uint64) int {
+// firstEndingFrom returns the index of the first range that ends at or after key.
+func (s *Set) firstEndingFrom(key uint64) int {
 	i, _ := slices.BinarySearchFunc(s.ranges, key, func(r Range, k uint64) int {
 		if r.To < k {
 			return -1
@@ -41,12 +41,12 @@
 	return i
 }
 
-// Add puts the keys of r into the set.
+// Add adds the keys of r to the set.
 func (s *Set) Add(r Range) {
 	if r.Empty() {
 		return
 	}
-	i := s.first(r.From)
+	i := s.firstEndingFrom(r.From)
 	j := i
 	for j < len(s.ranges) && s.ranges[j].From <= r.To {
 		r.From = min(r.From, s.ranges[j].From)
@@ -56,9 +56,9 @@
 	s.ranges = slices.Replace(s.ranges, i, j, r)
 }
 
-// Overlaps reports whether the set holds any key of r.
+// Overlaps reports whether the set contains any key of r.
 func (s *Set) Overlaps(r Range) bool {
-	for i := s.first(r.From); i < len(s.ranges) && s.ranges[i].From < r.To; i++ {
+	for i := s.firstEndingFrom(r.From); i < len(s.ranges) && s.ranges[i].From < r.To; i++ {
 		if s.ranges[i].Overlaps(r) {
 			return true
 		}
@@ -66,13 +66,13 @@
 	return false
 }
 
-// Contains reports whether the set holds every key of r.
+// Contains reports whether the set contains every key of r.
 func (s *Set) Contains(r Range) bool { return len(s.Missing(r)) == 0 }
 
-// Missing returns the parts of r that the set does not hold, in order.
+// Missing returns the parts of r that the set does not contain, in order.
 func (s *Set) Missing(r Range) []Range {
 	var out []Range
-	for i := s.first(r.From); i < len(s.ranges) && s.ranges[i].From < r.To; i++ {
+	for i := s.firstEndingFrom(r.From); i < len(s.ranges) && s.ranges[i].From < r.To; i++ {
 		if s.ranges[i].From > r.From {
 			out = append(out, Range{r.From, s.ranges[i].From})
 		}
