--- a/kernel/dispatch/estimate.go
+++ b/kernel/dispatch/estimate.go
@@ -30,7 +30,7 @@
 type latencyStats struct {
 	// longTerm has a long memory, for extreme quantiles; recent serves the decisions on
 	// load.
-	longTerm, recent repetition.Latency
+	longTerm, recent repetition.LatencySketch
 	replies          int
 	agedAt           time.Time     // when recent was aged last
 	lastReply        time.Time     // when the last reply came
@@ -64,15 +64,15 @@
 
 func (l *latencyStats) observe(d time.Duration, now time.Time) {
 	if !l.fresh(now) {
-		l.longTerm.Fade(staleWeight)
-		l.recent.Fade(staleWeight)
+		l.longTerm.CapWeight(staleWeight)
+		l.recent.CapWeight(staleWeight)
 		l.replies, l.low, l.median, l.high = 0, 0, 0, 0
 	}
 	l.lastReply = now
 	aged := now.Sub(l.agedAt) >= agingInterval
 	if aged {
 		l.agedAt = now
-		l.recent.Age(staleWeight)
+		l.recent.HalveWeight(staleWeight)
 	}
 	l.longTerm.Observe(d)
 	l.recent.Observe(d)
--- a/kernel/query/part.go
+++ b/kernel/query/part.go
@@ -83,7 +83,7 @@
 	res := m.currentResults()
 	res.lostShare = 0
 	for i := range m.spaces {
-		m.spaces[i].cellHeads = make([]int, res.grids[i].Cells())
+		m.spaces[i].cellHeads = make([]int, res.grids[i].CellCount())
 		shards := m.shards(i)
 		if !m.idempotent() && len(shards) > 1 {
 			shards = shards[:1]
@@ -115,7 +115,7 @@
 // waiting part, in the list of its cell.
 func (m *Machine) addPart(p part) {
 	grid := m.currentResults().grids[p.space]
-	first, end := grid.Span(p.keys)
+	first, end := grid.CellRange(p.keys)
 	for c := first; c < end; c++ {
 		piece := p
 		piece.keys = p.keys.Intersect(grid.Cell(c))
@@ -228,7 +228,7 @@
 	}
 	res := m.currentResults()
 	for _, r := range res.covered.Missing(p.space, p.keys) {
-		p.lostShare += res.covered.Weight(p.space, r)
+		p.lostShare += res.covered.ShareOf(p.space, r)
 	}
 	m.givenUpShare += p.lostShare
 	p.lostToVersion = reason == string(ReasonWrongVersion) || slices.ContainsFunc(m.leavesOf(p), m.lacksVersion)
--- a/kernel/query/reply.go
+++ b/kernel/query/reply.go
@@ -92,7 +92,7 @@
 func (m *Machine) partsTouching(space int, ranges []keyrange.Range) []int {
 	var out []int
 	for _, r := range ranges {
-		first, end := m.currentResults().grids[space].Span(r)
+		first, end := m.currentResults().grids[space].CellRange(r)
 		for c := first; c < end; c++ {
 			for i := m.spaces[space].cellHeads[c] - 1; i >= 0; i = m.parts[i].nextInCell - 1 {
 				out = append(out, i)
--- a/kernel/query/version.go
+++ b/kernel/query/version.go
@@ -33,7 +33,7 @@
 func (m *Machine) resultsAt(version uint64) *versionResults {
 	res := m.resultsByVersion[version]
 	if res == nil {
-		res = &versionResults{grids: m.grids, covered: coverage.New(m.grids), replies: make([]acceptedReply, 0, len(m.parts))}
+		res = &versionResults{grids: m.grids, covered: coverage.NewMap(m.grids), replies: make([]acceptedReply, 0, len(m.parts))}
 		m.resultsByVersion[version] = res
 	}
 	return res
