--- a/entry/control/control.go
+++ b/entry/control/control.go
@@ -194,7 +194,7 @@
 // watched tells the machine whether the watch works. A tick lets it plan its
 // next poll by that.
 func (c *Control) watched(works bool, now time.Time) {
-	c.rollout.SetWatched(works, now)
+	c.rollout.SetWatchWorking(works, now)
 	c.roll(rollout.Tick{})
 }
 
@@ -204,7 +204,7 @@
 		return
 	}
 	v := c.parse(obj.Version, obj.Value)
-	c.post(ctx, func(time.Time) { c.roll(rollout.Seen{Version: v, Source: rollout.SourceWatch}) })
+	c.post(ctx, func(time.Time) { c.roll(rollout.VersionSeen{Version: v, Source: rollout.SourceWatch}) })
 }
 
 // pollList reads the list of instances now and then.
--- a/entry/control/members.go
+++ b/entry/control/members.go
@@ -27,10 +27,10 @@
 		case membership.SendDigest:
 			c.sendDigest(a.Peer)
 		case membership.PeerAhead:
-			c.roll(rollout.PeerAhead{Peer: a.Peer.Instance, Generation: a.Generation})
+			c.roll(rollout.PeerGeneration{Peer: a.Peer.Instance, Generation: a.Generation})
 		case membership.Changed:
 			c.shares.follow(c.membership.Entries(), time.Now())
-			c.rollout.SetInstances(len(c.membership.Entries()))
+			c.rollout.SetInstanceCount(len(c.membership.Entries()))
 			c.publish()
 		case membership.WakeAt:
 			c.membershipAt = a.At
--- a/entry/control/operators.go
+++ b/entry/control/operators.go
@@ -18,12 +18,12 @@
 // Current implements operators.Control.
 func (c *Control) Current() (operators.Version, bool) {
 	var current, refused rollout.Version
-	if !c.ask(context.Background(), func(time.Time) { current, refused = c.rollout.Current(), c.rollout.RefusedVersion() }) {
+	if !c.ask(context.Background(), func(time.Time) { current, refused = c.rollout.Current(), c.rollout.InvalidVersion() }) {
 		return operators.Version{}, false
 	}
 	v := operators.Version{
 		Generation: current.Generation, Base: max(current.Generation, refused.Generation), Hash: current.Hash,
-		TOML: rollout.Text(current.Value), Document: current.Document, Fault: refused.Fault,
+		TOML: rollout.DocumentText(current.Value), Document: current.Document, Fault: refused.InvalidReason,
 	}
 	return v, current.Generation > 0
 }
@@ -61,14 +61,14 @@
 	if o.Current != nil {
 		out.Current = &operators.Version{
 			Generation: o.Current.Generation, Base: o.Current.Generation, Hash: o.Current.Hash,
-			TOML: rollout.Text(o.Current.Value), Document: o.Current.Document, Fault: o.Current.Fault,
+			TOML: rollout.DocumentText(o.Current.Value), Document: o.Current.Document, Fault: o.Current.InvalidReason,
 		}
 	}
 	return out
 }
 
 // resolve tells a submitter, and the log, what became of a save.
-func (c *Control) resolve(a rollout.Resolve) {
+func (c *Control) resolve(a rollout.ResolveSave) {
 	c.cfg.Log.Info("save settled", "save", a.ID, "state", a.Outcome.State, "generation", a.Outcome.Generation)
 	waiter := c.waiters[a.ID]
 	delete(c.waiters, a.ID)
--- a/entry/control/spread.go
+++ b/entry/control/spread.go
@@ -39,13 +39,13 @@
 		c.askPeer(a)
 	case rollout.AskAllPeers:
 		c.askAllPeers()
-	case rollout.Enforce:
+	case rollout.Activate:
 		c.enforce(a)
-	case rollout.Push:
+	case rollout.AnnounceGeneration:
 		c.push(a.All)
-	case rollout.Reject:
+	case rollout.RejectVersion:
 		c.cfg.Log.Error("version of the configuration refused", "generation", a.Generation, "source", a.Source, "reason", a.Reason)
-	case rollout.Resolve:
+	case rollout.ResolveSave:
 		c.resolve(a)
 	case rollout.WakeAt:
 		c.rolloutAt = a.At
@@ -65,7 +65,7 @@
 	}
 	doc, err := codec.Parse(value)
 	if err != nil {
-		v.Fault = err.Error()
+		v.InvalidReason = err.Error()
 		return v
 	}
 	v.Document = doc
@@ -80,7 +80,7 @@
 	var none *platform.NotFoundError
 	switch {
 	case err == nil:
-		event = rollout.Seen{Version: c.parse(obj.Version, obj.Value), Source: rollout.SourceStore}
+		event = rollout.VersionSeen{Version: c.parse(obj.Version, obj.Value), Source: rollout.SourceStore}
 	case errors.As(err, &none):
 		event = rollout.StoreEmpty{}
 	}
@@ -111,7 +111,7 @@
 }
 
 // enforce puts a version in force at this instance.
-func (c *Control) enforce(a rollout.Enforce) {
+func (c *Control) enforce(a rollout.Activate) {
 	v := a.Version
 	c.current.Store(&v)
 	c.cfg.Log.Info("configuration in force", "generation", v.Generation, "hash", v.Hash, "source", a.Source)
@@ -171,7 +171,7 @@
 	var event rollout.Event = rollout.PeerFailed{Peer: t.Instance}
 	if err == nil && doc.Generation > 0 && len(doc.TOML) > 0 {
 		v := c.parse(doc.Generation, doc.TOML)
-		event = rollout.Seen{Version: v, Source: rollout.SourcePeer, Peer: t.Instance}
+		event = rollout.VersionSeen{Version: v, Source: rollout.SourcePeer, Peer: t.Instance}
 	}
 	c.post(ctx, func(time.Time) { c.roll(event) })
 }
--- a/kernel/rollout/history.go
+++ b/kernel/rollout/history.go
@@ -15,28 +15,28 @@
 // stored value is a TOML document as it stands.
 const historyPrefix = "#saved "
 
-// Link is one save: the submission's nonce and the version it replaced.
-type Link struct {
+// SaveRecord is one save: the submission's nonce and the version it replaced.
+type SaveRecord struct {
 	Nonce string
 	Base  uint64
 }
 
-// Wrap builds the stored value: the history with the new save first, then the
+// EncodeValue builds the stored value: the history with the new save first, then the
 // TOML text. History lines that the text brings along are dropped.
-func Wrap(link Link, base []Link, toml []byte) []byte {
+func EncodeValue(link SaveRecord, base []SaveRecord, toml []byte) []byte {
 	var b bytes.Buffer
-	links := append([]Link{link}, base...)
+	links := append([]SaveRecord{link}, base...)
 	for _, l := range links[:min(len(links), maxHistory)] {
 		fmt.Fprintf(&b, "%s%s %d\n", historyPrefix, l.Nonce, l.Base)
 	}
-	b.Write(Text(toml))
+	b.Write(DocumentText(toml))
 	return b.Bytes()
 }
 
-// History reads the saves of a stored value, newest first. A value that
+// ParseHistory reads the saves of a stored value, newest first. A value that
 // something else wrote may have none.
-func History(value []byte) []Link {
-	var links []Link
+func ParseHistory(value []byte) []SaveRecord {
+	var links []SaveRecord
 	for line := range strings.Lines(string(value)) {
 		rest, ok := strings.CutPrefix(line, historyPrefix)
 		if !ok || len(links) == maxHistory {
@@ -47,13 +47,13 @@
 		if err != nil {
 			break
 		}
-		links = append(links, Link{Nonce: nonce, Base: base})
+		links = append(links, SaveRecord{Nonce: nonce, Base: base})
 	}
 	return links
 }
 
-// Text is the TOML text of a stored value, without the history.
-func Text(value []byte) []byte {
+// DocumentText is the TOML text of a stored value, without the history.
+func DocumentText(value []byte) []byte {
 	for bytes.HasPrefix(value, []byte(historyPrefix)) {
 		_, after, _ := bytes.Cut(value, []byte("\n"))
 		value = after
@@ -64,8 +64,8 @@
 // fate says what a stored value tells of a save: that it took effect, that
 // another save took its place, or neither. The store lets one save at most
 // replace each version, so the save that did replace it is decisive.
-func fate(value []byte, link Link) State {
-	for _, l := range History(value) {
+func fate(value []byte, link SaveRecord) State {
+	for _, l := range ParseHistory(value) {
 		if l.Base != link.Base {
 			continue
 		}
--- a/kernel/rollout/machine.go
+++ b/kernel/rollout/machine.go
@@ -59,9 +59,9 @@
 // Current is the version in force; its generation is 0 when there is none.
 func (m *Machine) Current() Version { return m.current }
 
-// RefusedVersion is the newest version seen that is not a valid document and is newer
+// InvalidVersion is the newest version seen that is not a valid document and is newer
 // than the one in force; its generation is 0 when there is none.
-func (m *Machine) RefusedVersion() Version {
+func (m *Machine) InvalidVersion() Version {
 	if m.refused.Generation <= m.current.Generation {
 		return Version{}
 	}
@@ -75,12 +75,12 @@
 // StoreEmpty reports whether the last answered read found no object.
 func (m *Machine) StoreEmpty() bool { return m.empty }
 
-// SetInstances tells the number of live instances, which share the polls.
-func (m *Machine) SetInstances(n int) { m.instances = max(1, n) }
+// SetInstanceCount tells the number of live instances, which share the polls.
+func (m *Machine) SetInstanceCount(n int) { m.instances = max(1, n) }
 
-// SetWatched tells whether the watch of the object works. When it stops to, the
+// SetWatchWorking tells whether the watch of the object works. When it stops to, the
 // next poll comes as soon as without one.
-func (m *Machine) SetWatched(works bool, now time.Time) {
+func (m *Machine) SetWatchWorking(works bool, now time.Time) {
 	if m.watched && !works && !m.pollAt.IsZero() && m.pollAt.After(now.Add(minPoll)) {
 		m.pollAt = now.Add(time.Duration(m.rnd.Int64N(int64(minPoll))))
 	}
@@ -93,7 +93,7 @@
 	switch e := event.(type) {
 	case Start:
 		m.read()
-	case Seen:
+	case VersionSeen:
 		m.seen(e, now)
 	case StoreEmpty:
 		m.readEnded(now)
@@ -103,7 +103,7 @@
 	case StoreFailed:
 		m.readEnded(now)
 		m.search()
-	case PeerAhead:
+	case PeerGeneration:
 		m.peerAhead(e, now)
 	case PeerFailed:
 		m.asked = 0
@@ -164,7 +164,7 @@
 }
 
 // seen takes a version from any source.
-func (m *Machine) seen(e Seen, now time.Time) {
+func (m *Machine) seen(e VersionSeen, now time.Time) {
 	m.consider(e.Version, e.Source, now)
 	switch e.Source {
 	case SourceStore:
@@ -179,14 +179,14 @@
 // consider puts a version in force if it is newer than the one in force. This
 // is the only place that changes the version in force.
 func (m *Machine) consider(v Version, source Source, now time.Time) {
-	if v.Generation == m.current.Generation && v.Fault == "" && v.Hash != m.current.Hash {
-		m.emit(Reject{v.Generation, source, "another document at the generation in force"})
+	if v.Generation == m.current.Generation && v.InvalidReason == "" && v.Hash != m.current.Hash {
+		m.emit(RejectVersion{v.Generation, source, "another document at the generation in force"})
 		return
 	}
 	if v.Generation <= m.current.Generation {
 		return
 	}
-	if v.Fault != "" {
+	if v.InvalidReason != "" {
 		m.refuse(v, source)
 		return
 	}
@@ -201,8 +201,8 @@
 func (m *Machine) enforce(v Version, source Source) {
 	m.first = Version{}
 	m.current = v
-	m.emit(Enforce{v, source})
-	m.emit(Push{All: source == SourceSave})
+	m.emit(Activate{v, source})
+	m.emit(AnnounceGeneration{All: source == SourceSave})
 }
 
 // hold keeps the highest version that the store gave a fresh instance for a
@@ -251,11 +251,11 @@
 	if source != SourcePeer {
 		m.refused = v
 	}
-	m.emit(Reject{v.Generation, source, v.Fault})
+	m.emit(RejectVersion{v.Generation, source, v.InvalidReason})
 }
 
 // peerAhead asks a peer that has a newer generation, one peer at a time.
-func (m *Machine) peerAhead(e PeerAhead, now time.Time) {
+func (m *Machine) peerAhead(e PeerGeneration, now time.Time) {
 	if e.Generation <= m.current.Generation {
 		return
 	}
--- a/kernel/rollout/messages.go
+++ b/kernel/rollout/messages.go
@@ -19,8 +19,8 @@
 	// Hash and Document are set when the value is valid.
 	Hash     string
 	Document *document.Document
-	// Fault says why the value is not a valid document; empty when it is.
-	Fault string
+	// InvalidReason says why the value is not a valid document; empty when it is.
+	InvalidReason string
 }
 
 // Source says where a version was seen.
@@ -43,8 +43,8 @@
 // Start begins the search for a document.
 type Start struct{}
 
-// Seen gives a version that a read, a watch or a peer returned.
-type Seen struct {
+// VersionSeen gives a version that a read, a watch or a peer returned.
+type VersionSeen struct {
 	Version Version
 	Source  Source
 	Peer    string // the peer's instance ID, for SourcePeer
@@ -56,8 +56,8 @@
 // StoreFailed says that a read got no answer.
 type StoreFailed struct{}
 
-// PeerAhead tells a peer's generation in force, from its digest.
-type PeerAhead struct {
+// PeerGeneration tells a peer's generation in force, from its digest.
+type PeerGeneration struct {
 	Peer       string
 	Generation uint64
 }
@@ -100,18 +100,18 @@
 // Tick says that a time asked for by WakeAt has passed.
 type Tick struct{}
 
-func (Start) isEvent()       {}
-func (Seen) isEvent()        {}
-func (StoreEmpty) isEvent()  {}
-func (StoreFailed) isEvent() {}
-func (PeerAhead) isEvent()   {}
-func (PeerFailed) isEvent()  {}
-func (Submit) isEvent()      {}
-func (PutDone) isEvent()     {}
-func (PutConflict) isEvent() {}
-func (PutUnknown) isEvent()  {}
-func (PutRefused) isEvent()  {}
-func (Tick) isEvent()        {}
+func (Start) isEvent()          {}
+func (VersionSeen) isEvent()    {}
+func (StoreEmpty) isEvent()     {}
+func (StoreFailed) isEvent()    {}
+func (PeerGeneration) isEvent() {}
+func (PeerFailed) isEvent()     {}
+func (Submit) isEvent()         {}
+func (PutDone) isEvent()        {}
+func (PutConflict) isEvent()    {}
+func (PutUnknown) isEvent()     {}
+func (PutRefused) isEvent()     {}
+func (Tick) isEvent()           {}
 
 // Action is an output of the machine.
 type Action interface{ isAction() }
@@ -138,27 +138,27 @@
 	Value     []byte
 }
 
-// Enforce puts a version in force at this instance.
-type Enforce struct {
+// Activate puts a version in force at this instance.
+type Activate struct {
 	Version Version
 	Source  Source
 }
 
-// Push tells peers of the generation in force at once. All is set at the
+// AnnounceGeneration tells peers of the generation in force at once. All is set at the
 // instance that saved.
-type Push struct{ All bool }
+type AnnounceGeneration struct{ All bool }
 
-// Reject reports a version that is not a valid document, or that contradicts
+// RejectVersion reports a version that is not a valid document, or that contradicts
 // the one in force at the same generation. The one in force stays.
-type Reject struct {
+type RejectVersion struct {
 	Generation uint64
 	Source     Source
 	Reason     string
 }
 
-// Resolve gives the outcome of a submission. It comes once with a final
+// ResolveSave gives the outcome of a submission. It comes once with a final
 // outcome; an Unknown may come before it.
-type Resolve struct {
+type ResolveSave struct {
 	ID      SaveID
 	Outcome Outcome
 }
@@ -166,15 +166,15 @@
 // WakeAt asks for a Tick at or after At; it replaces an earlier wish.
 type WakeAt struct{ At time.Time }
 
-func (ReadStore) isAction()   {}
-func (AskPeer) isAction()     {}
-func (AskAllPeers) isAction() {}
-func (PutStore) isAction()    {}
-func (Enforce) isAction()     {}
-func (Push) isAction()        {}
-func (Reject) isAction()      {}
-func (Resolve) isAction()     {}
-func (WakeAt) isAction()      {}
+func (ReadStore) isAction()          {}
+func (AskPeer) isAction()            {}
+func (AskAllPeers) isAction()        {}
+func (PutStore) isAction()           {}
+func (Activate) isAction()           {}
+func (AnnounceGeneration) isAction() {}
+func (RejectVersion) isAction()      {}
+func (ResolveSave) isAction()        {}
+func (WakeAt) isAction()             {}
 
 // State is the truthful class of a submission's outcome.
 type State string
--- a/kernel/rollout/rollout_test.go
+++ b/kernel/rollout/rollout_test.go
@@ -38,7 +38,7 @@
 					t.Skip()
 				}
 				v := w.store[rapid.Uint64Range(0, w.latest()-1).Draw(t, "event")]
-				w.handle(pick(), rollout.Seen{Version: v, Source: rollout.SourceWatch})
+				w.handle(pick(), rollout.VersionSeen{Version: v, Source: rollout.SourceWatch})
 			},
 			"digest":  func(*rapid.T) { w.digest(pick()) },
 			"restart": func(*rapid.T) { w.start(pick()) },
@@ -81,7 +81,7 @@
 	for _, in := range w.insts {
 		highest = max(highest, in.m.Current().Generation)
 	}
-	if n := w.latest(); n > 0 && w.store[n-1].Fault == "" && highest != n {
+	if n := w.latest(); n > 0 && w.store[n-1].InvalidReason == "" && highest != n {
 		w.t.Fatalf("generation %d is accepted, the highest in force is %d", n, highest)
 	}
 	for _, in := range w.insts {
@@ -113,7 +113,7 @@
 // begin puts a first version of the store in force, which takes the time for
 // which a fresh instance listens to its peers.
 func (m *machine) begin(generation uint64) []rollout.Action {
-	m.handle(rollout.Seen{Version: parse(generation, []byte("a")), Source: rollout.SourceStore})
+	m.handle(rollout.VersionSeen{Version: parse(generation, []byte("a")), Source: rollout.SourceStore})
 	m.now = m.now.Add(time.Second)
 	return m.handle(rollout.Tick{})
 }
@@ -123,19 +123,19 @@
 func TestFreshInstanceHearsPeersOverAnOldStore(t *testing.T) {
 	m := newMachine()
 	m.handle(rollout.Start{})
-	actions := m.handle(rollout.Seen{Version: parse(3, []byte("a")), Source: rollout.SourceStore})
-	if _, ok := find[rollout.Enforce](actions); ok {
+	actions := m.handle(rollout.VersionSeen{Version: parse(3, []byte("a")), Source: rollout.SourceStore})
+	if _, ok := find[rollout.Activate](actions); ok {
 		t.Error("the store's word was enforced before any peer was heard")
 	}
 	if _, ok := find[rollout.AskAllPeers](actions); !ok {
 		t.Error("the peers were not asked")
 	}
-	enforced, ok := find[rollout.Enforce](m.handle(rollout.Seen{Version: parse(4, []byte("b")), Source: rollout.SourcePeer, Peer: "p"}))
+	enforced, ok := find[rollout.Activate](m.handle(rollout.VersionSeen{Version: parse(4, []byte("b")), Source: rollout.SourcePeer, Peer: "p"}))
 	if !ok || enforced.Version.Generation != 4 {
 		t.Errorf("enforced %d, want the peer's 4", enforced.Version.Generation)
 	}
 	m.now = m.now.Add(time.Second)
-	if again, ok := find[rollout.Enforce](m.handle(rollout.Tick{})); ok {
+	if again, ok := find[rollout.Activate](m.handle(rollout.Tick{})); ok {
 		t.Errorf("went on to %d", again.Version.Generation)
 	}
 }
@@ -143,7 +143,7 @@
 // TestFreshInstanceWithoutPeersTakesTheStoresWord ends the wait.
 func TestFreshInstanceWithoutPeersTakesTheStoresWord(t *testing.T) {
 	m := newMachine()
-	enforced, ok := find[rollout.Enforce](m.begin(3))
+	enforced, ok := find[rollout.Activate](m.begin(3))
 	if !ok || enforced.Version.Generation != 3 {
 		t.Errorf("enforced %d, want 3", enforced.Version.Generation)
 	}
@@ -168,7 +168,7 @@
 	if _, ok := find[rollout.AskAllPeers](m.handle(rollout.StoreFailed{})); !ok {
 		t.Error("the peers were not asked")
 	}
-	m.handle(rollout.Seen{Version: parse(4, []byte("a")), Source: rollout.SourcePeer})
+	m.handle(rollout.VersionSeen{Version: parse(4, []byte("a")), Source: rollout.SourcePeer})
 	if m.Current().Generation != 4 {
 		t.Errorf("generation %d is in force, want 4", m.Current().Generation)
 	}
@@ -182,15 +182,15 @@
 func TestInvalidVersionIsRefused(t *testing.T) {
 	m := newMachine()
 	m.begin(3)
-	bad := rollout.Seen{Version: parse(5, []byte(invalid)), Source: rollout.SourceWatch}
-	if _, ok := find[rollout.Reject](m.handle(bad)); !ok {
+	bad := rollout.VersionSeen{Version: parse(5, []byte(invalid)), Source: rollout.SourceWatch}
+	if _, ok := find[rollout.RejectVersion](m.handle(bad)); !ok {
 		t.Error("the invalid version was not reported")
 	}
-	if _, ok := find[rollout.Reject](m.handle(bad)); ok {
+	if _, ok := find[rollout.RejectVersion](m.handle(bad)); ok {
 		t.Error("the invalid version was reported twice")
 	}
-	if m.Current().Generation != 3 || m.Base() != 5 || m.RefusedVersion().Generation != 5 {
-		t.Errorf("in force %d, base %d, refused %d", m.Current().Generation, m.Base(), m.RefusedVersion().Generation)
+	if m.Current().Generation != 3 || m.Base() != 5 || m.InvalidVersion().Generation != 5 {
+		t.Errorf("in force %d, base %d, refused %d", m.Current().Generation, m.Base(), m.InvalidVersion().Generation)
 	}
 	put, ok := find[rollout.PutStore](m.handle(rollout.Submit{ID: 1, Nonce: "n", TOML: []byte("b"), Hash: "b", IfVersion: 5}))
 	if !ok || put.IfVersion != 5 {
@@ -202,11 +202,11 @@
 // other saves have replaced since.
 func TestLostReplyFoundUnderLaterSaves(t *testing.T) {
 	m := newMachine()
-	m.handle(rollout.Seen{Version: parse(1, []byte("a")), Source: rollout.SourceStore})
+	m.handle(rollout.VersionSeen{Version: parse(1, []byte("a")), Source: rollout.SourceStore})
 	put, _ := find[rollout.PutStore](m.handle(rollout.Submit{ID: 7, Nonce: "mine", TOML: []byte("b"), Hash: "b", IfVersion: 1}))
 	m.handle(rollout.PutUnknown{ID: 7})
-	later := rollout.Wrap(rollout.Link{Nonce: "other", Base: 2}, rollout.History(put.Value), []byte("c"))
-	res, ok := find[rollout.Resolve](m.handle(rollout.Seen{Version: parse(3, later), Source: rollout.SourceStore}))
+	later := rollout.EncodeValue(rollout.SaveRecord{Nonce: "other", Base: 2}, rollout.ParseHistory(put.Value), []byte("c"))
+	res, ok := find[rollout.ResolveSave](m.handle(rollout.VersionSeen{Version: parse(3, later), Source: rollout.SourceStore}))
 	if !ok || res.Outcome.State != rollout.Accepted || res.Outcome.Generation != 2 {
 		t.Errorf("outcome %+v, want accepted at generation 2", res.Outcome)
 	}
@@ -219,15 +219,15 @@
 	put, _ := find[rollout.PutStore](m.handle(rollout.Submit{ID: 7, Nonce: "mine", TOML: []byte("b"), Hash: "b"}))
 	m.handle(rollout.PutUnknown{ID: 7})
 	m.handle(rollout.StoreFailed{})
-	m.now = m.now.Add(rollout.SaveWait)
-	res, ok := find[rollout.Resolve](m.handle(rollout.Tick{}))
+	m.now = m.now.Add(rollout.SubmitTimeout)
+	res, ok := find[rollout.ResolveSave](m.handle(rollout.Tick{}))
 	if !ok || res.Outcome.State != rollout.Unknown {
 		t.Fatalf("outcome %+v, want unknown", res.Outcome)
 	}
 	if _, ok := find[rollout.PutStore](m.handle(rollout.StoreEmpty{})); ok {
 		t.Error("it was written again after the submitter was told")
 	}
-	res, ok = find[rollout.Resolve](m.handle(rollout.Seen{Version: parse(1, put.Value), Source: rollout.SourceWatch}))
+	res, ok = find[rollout.ResolveSave](m.handle(rollout.VersionSeen{Version: parse(1, put.Value), Source: rollout.SourceWatch}))
 	if !ok || res.Outcome.State != rollout.Accepted {
 		t.Errorf("outcome %+v, want accepted", res.Outcome)
 	}
@@ -237,7 +237,7 @@
 	m := newMachine()
 	m.begin(9)
 	actions := m.handle(rollout.Submit{ID: 1, Nonce: "n", TOML: []byte("b"), IfVersion: 8})
-	res, ok := find[rollout.Resolve](actions)
+	res, ok := find[rollout.ResolveSave](actions)
 	if !ok || res.Outcome.State != rollout.Conflict || res.Outcome.Current.Generation != 9 {
 		t.Errorf("outcome %+v, want a conflict with generation 9", res.Outcome)
 	}
@@ -248,9 +248,9 @@
 
 func TestPollsOfALargeFleetAreSpread(t *testing.T) {
 	m := newMachine()
-	m.SetInstances(4500)
+	m.SetInstanceCount(4500)
 	m.begin(1)
-	wake, _ := find[rollout.WakeAt](m.handle(rollout.Seen{Version: parse(1, []byte("a")), Source: rollout.SourceStore}))
+	wake, _ := find[rollout.WakeAt](m.handle(rollout.VersionSeen{Version: parse(1, []byte("a")), Source: rollout.SourceStore}))
 	if wait := wake.At.Sub(m.now); wait < 45*time.Second || wait > 135*time.Second {
 		t.Errorf("next poll in %v, want about 90s", wait)
 	}
@@ -259,13 +259,13 @@
 func TestHistoryIsBounded(t *testing.T) {
 	value := []byte("x = 1\n")
 	for i := range 100 {
-		value = rollout.Wrap(rollout.Link{Nonce: "n", Base: uint64(i)}, rollout.History(value), value)
+		value = rollout.EncodeValue(rollout.SaveRecord{Nonce: "n", Base: uint64(i)}, rollout.ParseHistory(value), value)
 	}
-	links := rollout.History(value)
+	links := rollout.ParseHistory(value)
 	if len(links) != 32 || links[0].Base != 99 {
 		t.Errorf("%d links, newest over %d", len(links), links[0].Base)
 	}
-	if got := string(rollout.Text(value)); got != "x = 1\n" {
+	if got := string(rollout.DocumentText(value)); got != "x = 1\n" {
 		t.Errorf("text %q", got)
 	}
 }
@@ -280,7 +280,7 @@
 		t.Fatal("a save that a read did not find was not tried again")
 	}
 	m.handle(rollout.PutConflict{ID: 1})
-	if res, ok := find[rollout.Resolve](m.handle(rollout.Seen{Version: parse(5, []byte("by hand")), Source: rollout.SourceStore})); ok {
+	if res, ok := find[rollout.ResolveSave](m.handle(rollout.VersionSeen{Version: parse(5, []byte("by hand")), Source: rollout.SourceStore})); ok {
 		t.Errorf("outcome %+v without proof", res.Outcome)
 	}
 }
@@ -290,17 +290,17 @@
 	m := newMachine()
 	m.begin(1)
 	wait := func() time.Duration {
-		wake, _ := find[rollout.WakeAt](m.handle(rollout.Seen{Version: parse(1, []byte("a")), Source: rollout.SourceStore}))
+		wake, _ := find[rollout.WakeAt](m.handle(rollout.VersionSeen{Version: parse(1, []byte("a")), Source: rollout.SourceStore}))
 		return wake.At.Sub(m.now)
 	}
 	if got := wait(); got > 2*time.Second {
 		t.Errorf("next poll in %v without a watch", got)
 	}
-	m.SetWatched(true, m.now)
+	m.SetWatchWorking(true, m.now)
 	if got := wait(); got < 3*time.Second || got > 9*time.Second {
 		t.Errorf("next poll in %v with a watch, want about 6 s", got)
 	}
-	m.SetWatched(false, m.now)
+	m.SetWatchWorking(false, m.now)
 	wake, _ := find[rollout.WakeAt](m.handle(rollout.Tick{}))
 	if got := wake.At.Sub(m.now); got > time.Second {
 		t.Errorf("next poll in %v after the watch failed", got)
--- a/kernel/rollout/save.go
+++ b/kernel/rollout/save.go
@@ -7,8 +7,8 @@
 
 // Times of a submission.
 const (
-	// SaveWait is how long a submitter waits before it gets "unknown".
-	SaveWait = 8 * time.Second
+	// SubmitTimeout is how long a submitter waits before it gets "unknown".
+	SubmitTimeout = 8 * time.Second
 	// settleFor is how long an unknown submission is watched for.
 	settleFor = 10 * time.Minute
 	// settleEvery is the time between reads that try to settle a submission
@@ -20,7 +20,7 @@
 // save is one submission in progress.
 type save struct {
 	id       SaveID
-	link     Link
+	link     SaveRecord
 	version  Version // Generation is set when it is known
 	putting  bool
 	lost     bool // the reply of a try was lost
@@ -35,28 +35,28 @@
 // lost already.
 func (m *Machine) submit(e Submit, now time.Time) {
 	if e.IfVersion < m.current.Generation {
-		m.emit(Resolve{e.ID, Outcome{State: Conflict, Current: m.newest(m.current)}})
+		m.emit(ResolveSave{e.ID, Outcome{State: Conflict, Current: m.newest(m.current)}})
 		return
 	}
 	s := &save{
 		id:      e.ID,
-		link:    Link{Nonce: e.Nonce, Base: e.IfVersion},
+		link:    SaveRecord{Nonce: e.Nonce, Base: e.IfVersion},
 		version: Version{Hash: e.Hash, Document: e.Document},
-		waitEnd: now.Add(SaveWait),
+		waitEnd: now.Add(SubmitTimeout),
 		dropAt:  now.Add(settleFor),
 	}
-	s.version.Value = Wrap(s.link, m.historyAt(e.IfVersion), e.TOML)
+	s.version.Value = EncodeValue(s.link, m.historyAt(e.IfVersion), e.TOML)
 	m.saves[e.ID] = s
 	m.put(s)
 }
 
 // historyAt is the history of the version at a generation, when it is at hand.
-func (m *Machine) historyAt(generation uint64) []Link {
+func (m *Machine) historyAt(generation uint64) []SaveRecord {
 	switch generation {
 	case m.current.Generation:
-		return History(m.current.Value)
+		return ParseHistory(m.current.Value)
 	case m.refused.Generation:
-		return History(m.refused.Value)
+		return ParseHistory(m.refused.Value)
 	}
 	return nil
 }
@@ -134,7 +134,7 @@
 // version that the next save replaced, or the version itself if it is newest.
 func (m *Machine) generationOf(v Version, s *save) uint64 {
 	generation := v.Generation
-	for _, l := range History(v.Value) {
+	for _, l := range ParseHistory(v.Value) {
 		if l == s.link {
 			break
 		}
@@ -160,7 +160,7 @@
 // finish gives the final outcome.
 func (m *Machine) finish(s *save, o Outcome) {
 	delete(m.saves, s.id)
-	m.emit(Resolve{s.id, o})
+	m.emit(ResolveSave{s.id, o})
 }
 
 // tickSaves reads again for unsettled saves, tells submitters who waited long
@@ -196,7 +196,7 @@
 		return
 	}
 	s.answered = true
-	m.emit(Resolve{s.id, Outcome{State: Unknown, Reason: "the store's reply was lost and it can't be read back yet"}})
+	m.emit(ResolveSave{s.id, Outcome{State: Unknown, Reason: "the store's reply was lost and it can't be read back yet"}})
 }
 
 // nextSave is the time at which a save needs a tick; zero when none does.
--- a/kernel/rollout/world_test.go
+++ b/kernel/rollout/world_test.go
@@ -16,9 +16,9 @@
 
 // parse does the runtime's part: it reads a stored value.
 func parse(generation uint64, value []byte) rollout.Version {
-	v := rollout.Version{Generation: generation, Value: value, Hash: string(rollout.Text(value))}
+	v := rollout.Version{Generation: generation, Value: value, Hash: string(rollout.DocumentText(value))}
 	if strings.HasPrefix(v.Hash, invalid) {
-		v.Fault = "not a document"
+		v.InvalidReason = "not a document"
 	}
 	return v
 }
@@ -111,11 +111,11 @@
 				w.ask(in, peer)
 			}
 		}
-	case rollout.Push:
+	case rollout.AnnounceGeneration:
 		w.digest(in)
-	case rollout.Enforce:
+	case rollout.Activate:
 		w.enforced(in, a)
-	case rollout.Resolve:
+	case rollout.ResolveSave:
 		w.resolved(in, a)
 	case rollout.WakeAt:
 		in.wakeAt = a.At
@@ -127,7 +127,7 @@
 	generation := in.m.Current().Generation
 	for _, peer := range w.insts {
 		if peer != in {
-			w.later(peer, func() { w.handle(peer, rollout.PeerAhead{Peer: in.id, Generation: generation}) })
+			w.later(peer, func() { w.handle(peer, rollout.PeerGeneration{Peer: in.id, Generation: generation}) })
 		}
 	}
 }
@@ -144,7 +144,7 @@
 	case generation == 0:
 		return rollout.StoreEmpty{}
 	}
-	return rollout.Seen{Version: w.store[generation-1], Source: rollout.SourceStore}
+	return rollout.VersionSeen{Version: w.store[generation-1], Source: rollout.SourceStore}
 }
 
 // put queues a write and its reply; either may be lost or late.
@@ -192,7 +192,7 @@
 			w.handle(in, rollout.PeerFailed{Peer: peer.id})
 			return
 		}
-		w.handle(in, rollout.Seen{Version: v, Source: rollout.SourcePeer, Peer: peer.id})
+		w.handle(in, rollout.VersionSeen{Version: v, Source: rollout.SourcePeer, Peer: peer.id})
 	})
 }
 
@@ -229,7 +229,7 @@
 
 // enforced checks that nothing is put in force but a version the store held,
 // and never a lower one.
-func (w *world) enforced(in *instance, a rollout.Enforce) {
+func (w *world) enforced(in *instance, a rollout.Activate) {
 	g := a.Version.Generation
 	if g <= in.highest {
 		w.t.Fatalf("instance %s went from generation %d to %d", in.id, in.highest, g)
@@ -238,13 +238,13 @@
 	if g > w.latest() || w.store[g-1].Hash != a.Version.Hash {
 		w.t.Fatalf("instance %s has %q in force at generation %d, which the store never held", in.id, a.Version.Hash, g)
 	}
-	if a.Version.Fault != "" {
+	if a.Version.InvalidReason != "" {
 		w.t.Fatalf("instance %s has an invalid document in force", in.id)
 	}
 }
 
 // resolved notes an outcome. Nothing may follow a final one.
-func (w *world) resolved(in *instance, a rollout.Resolve) {
+func (w *world) resolved(in *instance, a rollout.ResolveSave) {
 	s := in.saves[a.ID]
 	if n := len(s.states); n > 0 && s.states[n-1].State != rollout.Unknown {
 		w.t.Fatalf("save %s: %s after %s", s.nonce, a.Outcome.State, s.states[n-1].State)
@@ -257,7 +257,7 @@
 	took := make(map[string]uint64)
 	winner := make(map[uint64]string)
 	for _, v := range w.store {
-		links := rollout.History(v.Value)
+		links := rollout.ParseHistory(v.Value)
 		if len(links) == 0 {
 			continue
 		}
