--- a/kernel/plugin/policy.go
+++ b/kernel/plugin/policy.go
@@ -103,7 +103,7 @@
 	// ObserveOldestWait reports, whenever the queue is served, the share of its allowed time
 	// that the oldest attempt has waited, in [0, 1].
 	ObserveOldestWait(waited float64, now time.Time)
-	// NewestFirst reports whether the newest attempt is served first.
+	// NewestFirst reports whether the attempts of the newest query are served first.
 	NewestFirst() bool
 }
 
