--- a/plugins/adaptivelimit/adaptivelimit.go
+++ b/plugins/adaptivelimit/adaptivelimit.go
@@ -1,6 +1,6 @@
-// Package adaptivelimit moves the limit between 1 and the connection share by
-// the time that attempts spend waiting inside the leaf, which no other entry's
-// queue and no load endpoint can hide.
+// Package adaptivelimit is the limit policy that moves the limit between 1 and the connection
+// share by the time that attempts wait inside the leaf. This time includes the waiting that
+// other entries' load causes and does not depend on the leaf's load endpoint.
 package adaptivelimit
 
 import (
@@ -9,38 +9,38 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/plugin"
 )
 
-// Name is the name that the policy registers under.
+// Name is the name under which the policy is registered.
 const Name = "adaptive"
 
 const (
-	gain = 0.1 // weight of one reply in the moving averages
-	// Wait inside the leaf, in mean service times and divided by the limit,
-	// above which the limit falls and below which it may grow. The higher the
-	// limit, the more of that wait is this entry's own doing; at 1 it is all
-	// the other entries', and lower than 1 there is nothing to go.
-	waitHigh = 5.0
-	waitLow  = 3.5
-	grow     = 1.0 // a limit of n grows by this after n saturated replies
-	shrink   = 0.1 // share by which the limit falls after n replies
-	shedCut  = 0.5 // factor after a shed reply
-	floorAge = 10 * time.Second
+	sampleWeight = 0.1 // of one reply in the moving averages
+	// The mean wait inside the leaf, in mean service times and divided by the limit, above
+	// which the limit falls (maxWaitRatio) and below which it may grow (growWaitRatio). The
+	// higher the limit, the more of the wait this entry causes itself. At a limit of 1 other
+	// entries cause all of it, and the limit cannot fall further.
+	maxWaitRatio  = 5.0
+	growWaitRatio = 3.5
+	growStep      = 1.0 // a limit of n grows by this in n saturated replies
+	shrinkStep    = 0.1 // taken off for each reply: a limit of n falls by this share in n replies
+	shedFactor    = 0.5 // applied to the limit when the leaf sheds an attempt
+	minimumWindow = 10 * time.Second
 )
 
 type policy struct {
-	share   int
-	limit   float64
-	wait    float64 // moving average of time outside the slot, seconds
-	service float64 // moving average of time in the slot, seconds
-	floor   lowest
+	share      int
+	limit      float64
+	wait       float64     // moving average of the wait inside the leaf, seconds
+	service    float64     // moving average of the time in a slot, seconds
+	minOutside windowedMin // least latency outside the slot: the network's part
 }
 
-// New returns an independent instance, which starts at the whole share.
+// New returns a new, independent policy, which starts at the whole share.
 func New() plugin.Limit { return &policy{} }
 
 // Limit is at least 1.
 func (p *policy) Limit() int { return max(1, int(p.limit)) }
 
-// SetShare bounds the limit; the first share is where it starts.
+// SetShare sets the upper bound of the limit. The limit starts at the first share.
 func (p *policy) SetShare(share int) {
 	if p.share == 0 {
 		p.limit = float64(share)
@@ -49,67 +49,71 @@
 	p.limit = min(p.limit, float64(share))
 }
 
-// RecordResult adapts the limit.
-func (p *policy) RecordResult(s plugin.AttemptResult, now time.Time) {
-	if s.Shed {
-		p.limit = max(1, p.limit*shedCut)
+// RecordResult adapts the limit to a reply or to an attempt that the leaf shed.
+func (p *policy) RecordResult(r plugin.AttemptResult, now time.Time) {
+	if r.Shed {
+		p.limit = max(1, p.limit*shedFactor)
 		return
 	}
-	if !s.OK {
+	if !r.OK {
 		return
 	}
-	p.learn(s, now)
+	p.updateAverages(r, now)
 	switch {
-	case p.wait*p.limit > waitHigh*p.service:
-		p.limit = max(1, p.limit-shrink)
-	case s.Saturated && p.wait*p.limit < waitLow*p.service:
-		p.limit = min(float64(p.share), p.limit+grow/max(1, p.limit))
+	case p.wait*p.limit > maxWaitRatio*p.service:
+		p.limit = max(1, p.limit-shrinkStep)
+	case r.Saturated && p.wait*p.limit < growWaitRatio*p.service:
+		p.limit = min(float64(p.share), p.limit+growStep/max(1, p.limit))
 	}
 }
 
-// learn updates the averages.
-func (p *policy) learn(s plugin.AttemptResult, now time.Time) {
-	if s.Service <= 0 {
-		p.guess(s)
+// updateAverages updates the mean wait and the mean service time by a reply. The wait is the
+// latency outside the slot beyond its recent minimum.
+func (p *policy) updateAverages(r plugin.AttemptResult, now time.Time) {
+	if r.Service <= 0 {
+		p.updateFromLatency(r)
 		return
 	}
-	outside := s.Latency - s.Service
-	least := p.floor.observe(outside, now)
+	outsideSlot := r.Latency - r.Service
+	minimum := p.minOutside.observe(outsideSlot, now)
 	if p.service == 0 {
-		p.service = s.Service.Seconds()
+		p.service = r.Service.Seconds()
 	}
-	p.wait += gain * ((outside - least).Seconds() - p.wait)
-	p.service += gain * (s.Service.Seconds() - p.service)
+	p.wait += sampleWeight * ((outsideSlot - minimum).Seconds() - p.wait)
+	p.service += sampleWeight * (r.Service.Seconds() - p.service)
 }
 
-// guess is for a leaf that does not state its service time: it is taken to serve in the
-// mean latency of the attempts that found room to spare, which wait least. The least
-// latency is no measure where requests differ: with work of 4 and 11 ms the limit fell to
-// 1 at moderate load, and the two or three instances that ask a leaf left its slots idle.
-func (p *policy) guess(s plugin.AttemptResult) {
-	latency := s.Latency.Seconds()
+// updateFromLatency is for a leaf that does not state its service time. The estimate of it is
+// the mean latency of the attempts that were dispatched below the limit, as these wait
+// least. The minimum latency is no estimate where requests differ: with requests of 4 and
+// 11 ms the limit fell to 1 at moderate load, and the two or three instances that query a
+// leaf left its slots idle.
+func (p *policy) updateFromLatency(r plugin.AttemptResult) {
+	latency := r.Latency.Seconds()
 	if p.service == 0 {
 		p.service = latency
 	}
-	if !s.Saturated {
-		p.service += gain * (latency - p.service)
+	if !r.Saturated {
+		p.service += sampleWeight * (latency - p.service)
 	}
-	p.wait += gain * (max(0, latency-p.service) - p.wait)
+	p.wait += sampleWeight * (max(0, latency-p.service) - p.wait)
 }
 
-// lowest is the least of two windows, so that an old floor is forgotten.
-type lowest struct {
+// windowedMin is the minimum over the present and the previous window of minimumWindow, so
+// that an old minimum expires.
+type windowedMin struct {
 	since             time.Time
 	present, previous time.Duration
 }
 
-func (l *lowest) observe(d time.Duration, now time.Time) time.Duration {
-	if l.since.IsZero() {
-		l.since, l.present, l.previous = now, d, d
+// observe adds a sample and returns the minimum.
+func (m *windowedMin) observe(d time.Duration, now time.Time) time.Duration {
+	if m.since.IsZero() {
+		m.since, m.present, m.previous = now, d, d
 	}
-	if now.Sub(l.since) > floorAge {
-		l.since, l.previous, l.present = now, l.present, d
+	if now.Sub(m.since) > minimumWindow {
+		m.since, m.previous, m.present = now, m.present, d
 	}
-	l.present = min(l.present, d)
-	return min(l.present, l.previous)
+	m.present = min(m.present, d)
+	return min(m.present, m.previous)
 }
--- a/plugins/adaptiveorder/adaptiveorder.go
+++ b/plugins/adaptiveorder/adaptiveorder.go
@@ -1,5 +1,5 @@
-// Package adaptiveorder serves the oldest query first while the queue keeps
-// emptying, and the newest first while a standing queue shows overload.
+// Package adaptiveorder is the order policy that serves the oldest query first while the queue
+// keeps emptying, and the newest first while a standing queue shows overload.
 package adaptiveorder
 
 import (
@@ -8,35 +8,36 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/plugin"
 )
 
-// Name is the name that the policy registers under.
+// Name is the name under which the policy is registered.
 const Name = "adaptive"
 
-// A queue is overloaded when, at every service during one interval, the oldest
-// attempt had waited more than target of its time: what is oldest will hardly
-// finish, and what is newest still can.
+// A queue is overloaded when, each time it is served within overloadInterval, the oldest attempt
+// has waited more than maxWaitShare of its allowed time. The oldest attempts will then hardly
+// finish in time, while the newest still can.
 const (
-	target   = 0.5
-	interval = 100 * time.Millisecond
+	maxWaitShare     = 0.5
+	overloadInterval = 100 * time.Millisecond
 )
 
 type policy struct {
-	aboveSince time.Time // zero while the queue is short
+	aboveSince time.Time // when the wait exceeded maxWaitShare; zero while it does not
 	overloaded bool
 }
 
-// New returns an independent instance.
+// New returns a new, independent policy.
 func New() plugin.Order { return &policy{} }
 
-// ObserveOldestWait takes the share of its time that the oldest attempt has waited.
-func (p *policy) ObserveOldestWait(oldest float64, now time.Time) {
-	if oldest <= target {
+// ObserveOldestWait updates the state of overload by the share of its allowed time that the
+// oldest attempt has waited.
+func (p *policy) ObserveOldestWait(waited float64, now time.Time) {
+	if waited <= maxWaitShare {
 		p.aboveSince, p.overloaded = time.Time{}, false
 		return
 	}
 	if p.aboveSince.IsZero() {
 		p.aboveSince = now
 	}
-	p.overloaded = now.Sub(p.aboveSince) >= interval
+	p.overloaded = now.Sub(p.aboveSince) >= overloadInterval
 }
 
 // NewestFirst is true during overload.
--- a/plugins/adaptiveorder/adaptiveorder_test.go
+++ b/plugins/adaptiveorder/adaptiveorder_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestStandingQueueTurnsTheOrder(t *testing.T) {
+func TestStandingQueueIsServedNewestFirst(t *testing.T) {
 	p := New()
 	at := func(ms int) time.Time { return time.Unix(1000, 0).Add(time.Duration(ms) * time.Millisecond) }
 	p.ObserveOldestWait(0.9, at(0))
@@ -22,7 +22,7 @@
 		t.Fatal("newest first although the queue is short again")
 	}
 	p.ObserveOldestWait(0.9, at(150))
-	p.ObserveOldestWait(0.9, at(201)) // the interval starts anew
+	p.ObserveOldestWait(0.9, at(201)) // a new interval began at 150 ms
 	if p.NewestFirst() {
 		t.Fatal("newest first after a queue that stood for 51 ms")
 	}
--- a/plugins/blindretry/blindretry.go
+++ b/plugins/blindretry/blindretry.go
@@ -1,6 +1,6 @@
-// Package blindretry is the baseline repetition policy that retries whatever
-// was declined, without a budget and without hedges. The query machine's own
-// bound on attempts of a part (3) is its only limit.
+// Package blindretry is the baseline repetition policy that retries every declined attempt,
+// without a budget and without hedges. Its only limit is the query machine's bound of 3
+// attempts for each part of a query.
 package blindretry
 
 import (
@@ -9,25 +9,25 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/plugin"
 )
 
-// Name is the name that the policy registers under.
+// Name is the name under which the policy is registered.
 const Name = "blind-retry"
 
 type policy struct{}
 
-// New returns an independent instance.
+// New returns a new, independent policy.
 func New(plugin.RepetitionConfig) plugin.Repetition { return policy{} }
 
-// Deposit is ignored.
+// Deposit does nothing, as there are no budgets.
 func (policy) Deposit() {}
 
-// HedgeAfter gives no hedge.
+// HedgeAfter returns false: there are no hedges.
 func (policy) HedgeAfter(plugin.Quantiler) (time.Duration, bool) { return 0, false }
 
-// TakeHedge refuses.
+// TakeHedge always refuses.
 func (policy) TakeHedge(time.Time) bool { return false }
 
 // TakeRetry always grants.
 func (policy) TakeRetry(time.Time) bool { return true }
 
-// RecordShed is ignored.
+// RecordShed does nothing.
 func (policy) RecordShed(time.Time) {}
--- a/plugins/budgeted/budgeted_test.go
+++ b/plugins/budgeted/budgeted_test.go
@@ -17,17 +17,18 @@
 	return 20 * time.Millisecond
 }
 
+// noLatency has no samples.
 type noLatency struct{}
 
 func (noLatency) Quantile(float64) time.Duration { return 0 }
 
 var settings = plugin.RepetitionConfig{HedgeBudget: 0.05, HedgeQuantile: 0.9, RetryBudget: 0.1}
 
-func TestHedgesComeLaterWhenTheBudgetIsShort(t *testing.T) {
+func TestHedgeDelayGrowsAsBudgetEmpties(t *testing.T) {
 	p := New(settings)
 	empty, ok := p.HedgeAfter(fakeLatency{})
 	if !ok || empty != 32*time.Millisecond {
-		t.Fatalf("hedge after %v with an empty budget, want multipleMost medians", empty)
+		t.Fatalf("hedge after %v with an empty budget, want maxMedianMultiple medians", empty)
 	}
 	for range 10_000 {
 		p.Deposit()
@@ -38,7 +39,7 @@
 	}
 }
 
-func TestNoHedgeWithoutKnowledge(t *testing.T) {
+func TestNoHedgeWithoutLatencyOrQuantile(t *testing.T) {
 	if d, ok := New(settings).HedgeAfter(noLatency{}); ok {
 		t.Fatalf("hedge after %v although no latency is known", d)
 	}
@@ -63,18 +64,18 @@
 		t.Fatal("no retry although its budget is full")
 	}
 	if !p.TakeHedge(now.Add(shedPause)) {
-		t.Fatal("no hedge after the pause")
+		t.Fatal("no hedge after shedPause")
 	}
 }
 
 func TestRetriesAreBudgeted(t *testing.T) {
 	p := New(settings)
 	retries := 0
-	for p.TakeRetry(time.Time{}) { // what a new budget holds
+	for p.TakeRetry(time.Time{}) { // a new retry budget is full
 		retries++
 	}
 	if retries != 10 {
-		t.Fatalf("%d retries at first, want 10", retries)
+		t.Fatalf("%d retries from a new budget, want 10", retries)
 	}
 	retries = 0
 	for range 1000 {
--- a/plugins/direct/direct.go
+++ b/plugins/direct/direct.go
@@ -1,6 +1,6 @@
-// Package direct lets every entry connect to every leaf and divides each
-// leaf's connection limit among the live entries, so that the limit holds
-// even when entries see different lists.
+// Package direct is the placement policy by which every entry connects to every leaf. It
+// divides each leaf's connection limit among the live entries, so that the limit holds even
+// while entries have different lists of them.
 package direct
 
 import (
@@ -11,49 +11,48 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/plugin"
 )
 
-// Name is the name that the policy registers under.
+// Name is the name under which the policy is registered.
 const Name = "direct"
 
-// DefaultHeadroom allows two entries that have joined unseen by others.
+// DefaultHeadroom keeps the limits while two entries are missing from the others' lists.
 const DefaultHeadroom = 2
 
 type policy struct{ headroom int }
 
-// New returns an independent instance.
+// New returns a new, independent policy.
 func New(cfg plugin.PlacementConfig) plugin.Placement {
 	return policy{headroom: max(0, cfg.Headroom)}
 }
 
-// Share is limit/m rounded down, where m counts the listed entries and the
-// headroom, and one more for the entries that rendezvous hashing ranks first.
-// If no list misses more than headroom of the N entries that hold connections,
-// every m is at least N and each rank is off by at most headroom, so the sum
-// of all shares stays within the limit.
+// Share is limit/n rounded down, where n is the number of listed entries plus the headroom;
+// the entries that rendezvous hashing ranks first get one connection more. Suppose that N
+// entries hold connections and no list misses more than headroom of them. Then every n is at
+// least N and each rank is off by at most headroom, so the shares add up to at most limit.
 func (p policy) Share(leafID string, limit int, self string, entries []string) int {
-	m := p.headroom + len(entries)
-	if m == 0 || limit < 1 {
+	n := p.headroom + len(entries)
+	if n == 0 || limit < 1 {
 		return 0
 	}
-	share := limit / m
-	if p.rank(leafID, self, entries) < limit%m-p.headroom {
+	share := limit / n
+	if p.rank(leafID, self, entries) < limit%n-p.headroom {
 		share++
 	}
 	return share
 }
 
-// rank counts the listed entries that come before self for the leaf.
+// rank counts the listed entries that rendezvous hashing ranks before self for the leaf.
 func (policy) rank(leafID, self string, entries []string) int {
-	own, n := score(leafID, self), 0
+	own, rank := score(leafID, self), 0
 	for _, e := range entries {
-		if e != self && before(score(leafID, e), e, own, self) {
-			n++
+		if e != self && ranksBefore(score(leafID, e), e, own, self) {
+			rank++
 		}
 	}
-	return n
+	return rank
 }
 
-// before orders by score, then by name.
-func before(a uint64, nameA string, b uint64, nameB string) bool {
+// ranksBefore reports whether entry A ranks before entry B: by the higher score, then by name.
+func ranksBefore(a uint64, nameA string, b uint64, nameB string) bool {
 	if c := cmp.Compare(a, b); c != 0 {
 		return c > 0
 	}
@@ -69,7 +68,8 @@
 	return mix(h.Sum64())
 }
 
-// mix spreads the hash's low-entropy high bits (the finalizer of MurmurHash3).
+// mix is the finalizer of MurmurHash3. FNV alone leaves the high bits, which decide the rank,
+// with little entropy.
 func mix(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
@@ -78,5 +78,5 @@
 	return x ^ x>>33
 }
 
-// Via is always self: the connection is direct.
+// Via returns self, as every connection is direct.
 func (policy) Via(_, self string, _ []string) string { return self }
--- a/plugins/direct/direct_test.go
+++ b/plugins/direct/direct_test.go
@@ -21,7 +21,8 @@
 	os.Exit(m.Run())
 }
 
-func names(n int) []string {
+// entryNames returns the names of n entries.
+func entryNames(n int) []string {
 	out := make([]string, n)
 	for i := range out {
 		out[i] = fmt.Sprintf("entry-%03d", i)
@@ -29,13 +30,13 @@
 	return out
 }
 
-// TestLimitHoldsWhileListsDiffer gives every live entry its own list, which
-// misses up to headroom of the live entries and names dead ones.
+// TestLimitHoldsWhileListsDiffer gives every live entry its own list, which misses up to
+// headroom of the live entries and may have dead ones. The shares must not exceed the limit.
 func TestLimitHoldsWhileListsDiffer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		headroom := rapid.IntRange(0, 4).Draw(t, "headroom")
 		limit := rapid.IntRange(0, 120).Draw(t, "limit")
-		all := names(30)
+		all := entryNames(30)
 		live := all[:rapid.IntRange(1, 20).Draw(t, "live")]
 		p := New(plugin.PlacementConfig{Headroom: headroom})
 		sum := 0
@@ -60,9 +61,10 @@
 	})
 }
 
-// TestSharesOfToday states what eight entries get of the users' leaves.
-func TestSharesOfToday(t *testing.T) {
-	entries := names(8)
+// TestSharesOfEightEntries checks the least share and the sum of shares of eight entries at
+// several limits.
+func TestSharesOfEightEntries(t *testing.T) {
+	entries := entryNames(8)
 	for limit, want := range map[int][2]int{25: {2, 19}, 40: {4, 40 - 8}, 110: {11, 88}} {
 		p := New(plugin.PlacementConfig{Headroom: DefaultHeadroom})
 		least, sum := limit, 0
@@ -77,18 +79,18 @@
 	}
 }
 
-// TestFewMovesPerLostEntry loses one of eight entries: a leaf's other shares
-// change by the lost entry's part, and no entry's by more than one.
-func TestFewMovesPerLostEntry(t *testing.T) {
+// TestLostEntryMovesFewConnections removes one of eight entries: the others take over about its
+// share of each leaf, and no entry's share changes by more than one connection.
+func TestLostEntryMovesFewConnections(t *testing.T) {
 	p := New(plugin.PlacementConfig{Headroom: DefaultHeadroom})
-	before := names(8)
+	before := entryNames(8)
 	moves, total := 0, 0
 	for leaf := range 200 {
 		id := fmt.Sprint("leaf-", leaf)
 		for _, e := range before[1:] {
 			old, now := p.Share(id, 25, e, before), p.Share(id, 25, e, before[1:])
 			if d := now - old; d < -1 || d > 1 {
-				t.Fatalf("the share of %s moved from %d to %d", e, old, now)
+				t.Fatalf("the share of %s changed from %d to %d, want a change of at most 1", e, old, now)
 			}
 			if now != old {
 				moves++
@@ -101,18 +103,18 @@
 	}
 }
 
-// TestRestIsSpread checks that the rest goes to different entries for
-// different leaves.
-func TestRestIsSpread(t *testing.T) {
+// TestRemainderIsSpreadOverEntries checks that the connections left over by the division go to
+// different entries for different leaves.
+func TestRemainderIsSpreadOverEntries(t *testing.T) {
 	p := New(plugin.PlacementConfig{Headroom: DefaultHeadroom})
-	entries := names(8)
+	entries := entryNames(8)
 	got := map[string]int{}
 	for leaf := range 400 {
 		for _, e := range entries {
 			got[e] += p.Share(fmt.Sprint("leaf-", leaf), 25, e, entries)
 		}
 	}
-	for e, n := range got { // 19 of 25 over 8 entries is 2.375 a leaf
+	for e, n := range got { // 19 of 25 connections over 8 entries are 2.375 for each leaf
 		if n < 900 || n > 1000 {
 			t.Errorf("%s has %d connections over 400 leaves, want about 950", e, n)
 		}
--- a/plugins/doc.go
+++ b/plugins/doc.go
@@ -1,5 +1,5 @@
-// Package plugins links every plug-in of this module into a program: import
-// it for its side effect, the registrations.
+// Package plugins links every policy plug-in of this module into a program. Import it for its
+// side effect: each plug-in registers itself under the name beside its import.
 package plugins
 
 import (
--- a/plugins/fifo/fifo.go
+++ b/plugins/fifo/fifo.go
@@ -1,4 +1,4 @@
-// Package fifo is the baseline queue order: the oldest query first, always.
+// Package fifo is the baseline order policy: the oldest query is always served first.
 package fifo
 
 import (
@@ -7,15 +7,15 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/plugin"
 )
 
-// Name is the name that the policy registers under.
+// Name is the name under which the policy is registered.
 const Name = "fifo"
 
 type policy struct{}
 
-// New returns an independent instance.
+// New returns a new, independent policy.
 func New() plugin.Order { return policy{} }
 
-// ObserveOldestWait is ignored.
+// ObserveOldestWait ignores the wait.
 func (policy) ObserveOldestWait(float64, time.Time) {}
 
 // NewestFirst is always false.
--- a/plugins/fixedlimit/fixedlimit.go
+++ b/plugins/fixedlimit/fixedlimit.go
@@ -1,4 +1,5 @@
-// Package fixedlimit is the baseline limit: the whole connection share, always.
+// Package fixedlimit is the baseline limit policy: the limit is always the whole connection
+// share.
 package fixedlimit
 
 import (
@@ -7,12 +8,12 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/plugin"
 )
 
-// Name is the name that the policy registers under.
+// Name is the name under which the policy is registered.
 const Name = "fixed"
 
 type policy struct{ share int }
 
-// New returns an independent instance.
+// New returns a new, independent policy.
 func New() plugin.Limit { return &policy{} }
 
 // Limit is the connection share.
@@ -21,5 +22,5 @@
 // SetShare sets the connection share.
 func (p *policy) SetShare(share int) { p.share = share }
 
-// RecordResult is ignored.
+// RecordResult ignores the result.
 func (*policy) RecordResult(plugin.AttemptResult, time.Time) {}
--- a/plugins/greatest/greatest.go
+++ b/plugins/greatest/greatest.go
@@ -1,5 +1,5 @@
-// Package greatest keeps the greatest records of all replies, compared byte by
-// byte. Records have one fixed size; equal ones all count.
+// Package greatest is the combiner that returns the greatest records of all replies, compared
+// byte by byte. All records have the same size, and equal records are all kept.
 package greatest
 
 import (
@@ -10,11 +10,10 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/plugin"
 )
 
-// Name is the name that the combiner registers under.
+// Name is the name under which the combiner is registered.
 const Name = "greatest-records"
 
-// recordSize is the length of a record in bytes. A shorter rest of a body is no
-// record.
+// recordSize is the length of a record in bytes. A shorter remainder of a body is ignored.
 const recordSize = 16
 
 type combiner struct{}
@@ -22,16 +21,16 @@
 // New returns the combiner; it has no state.
 func New() plugin.Combiner { return combiner{} }
 
-// Combine returns the most greatest records, greatest first. It holds no more
-// than that many at a time.
-func (combiner) Combine(bodies [][]byte, most int) []byte {
-	if most <= 0 {
+// Combine returns the greatest maxRecords records, greatest first. It never holds more than
+// that many.
+func (combiner) Combine(bodies [][]byte, maxRecords int) []byte {
+	if maxRecords <= 0 {
 		return nil
 	}
-	kept := make(smallest, 0, most)
+	kept := make(recordHeap, 0, maxRecords)
 	for _, body := range bodies {
 		for ; len(body) >= recordSize; body = body[recordSize:] {
-			kept.offer(body[:recordSize], most)
+			kept.offer(body[:recordSize], maxRecords)
 		}
 	}
 	slices.SortFunc(kept, func(a, b []byte) int { return bytes.Compare(b, a) })
@@ -42,36 +41,36 @@
 	return out
 }
 
-// smallest is a heap whose first record is the smallest kept.
-type smallest [][]byte
+// recordHeap is a min-heap: its first record is the smallest one kept.
+type recordHeap [][]byte
 
-// offer keeps a record if it is among the most greatest so far.
-func (s *smallest) offer(record []byte, most int) {
+// offer keeps a record if it is among the greatest maxRecords so far.
+func (h *recordHeap) offer(record []byte, maxRecords int) {
 	switch {
-	case len(*s) < most:
-		heap.Push(s, record)
-	case bytes.Compare(record, (*s)[0]) > 0:
-		(*s)[0] = record
-		heap.Fix(s, 0)
+	case len(*h) < maxRecords:
+		heap.Push(h, record)
+	case bytes.Compare(record, (*h)[0]) > 0:
+		(*h)[0] = record
+		heap.Fix(h, 0)
 	}
 }
 
-// Len is part of heap.Interface.
-func (s smallest) Len() int { return len(s) }
+// Len implements heap.Interface.
+func (h recordHeap) Len() int { return len(h) }
 
-// Less is part of heap.Interface.
-func (s smallest) Less(i, j int) bool { return bytes.Compare(s[i], s[j]) < 0 }
+// Less implements heap.Interface.
+func (h recordHeap) Less(i, j int) bool { return bytes.Compare(h[i], h[j]) < 0 }
 
-// Swap is part of heap.Interface.
-func (s smallest) Swap(i, j int) { s[i], s[j] = s[j], s[i] }
+// Swap implements heap.Interface.
+func (h recordHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-// Push is part of heap.Interface.
-func (s *smallest) Push(x any) { *s = append(*s, x.([]byte)) }
+// Push implements heap.Interface.
+func (h *recordHeap) Push(x any) { *h = append(*h, x.([]byte)) }
 
-// Pop is part of heap.Interface.
-func (s *smallest) Pop() any {
-	old := *s
+// Pop implements heap.Interface.
+func (h *recordHeap) Pop() any {
+	old := *h
 	x := old[len(old)-1]
-	*s = old[:len(old)-1]
+	*h = old[:len(old)-1]
 	return x
 }
--- a/plugins/internal/health/health.go
+++ b/plugins/internal/health/health.go
@@ -1,5 +1,6 @@
-// Package health judges a leaf by its own outcomes: it ejects one that fails far
-// more than its peers and lets single attempts probe whether it is back.
+// Package health ejects outliers: a leaf whose attempts fail far more often than those of the
+// other leaves gets no work, except single attempts that probe whether it has recovered. The
+// routing policies share it.
 package health
 
 import (
@@ -9,103 +10,108 @@
 )
 
 const (
-	// Weights of one outcome in the moving average of failure: a declined or
-	// broken attempt and a reply, an attempt that met its deadline, which
-	// overload does to good leaves too, and one that was cancelled late.
-	failureGain = 0.45
-	timeoutGain = 0.15
-	lateGain    = 0.05
-	// lateFactor times the mean latency of all leaves makes a cancelled attempt late.
+	// Weights of one outcome in the moving average of failures. failureWeight is for a
+	// reply and for a declined or broken attempt. timeoutWeight is for an attempt that
+	// reached its deadline; it is lower because overload does this to healthy leaves too.
+	// lateWeight is for an attempt that was cancelled late.
+	failureWeight = 0.45
+	timeoutWeight = 0.15
+	lateWeight    = 0.05
+	// lateFactor times the mean latency of all leaves is the age from which a cancelled
+	// attempt is late.
 	lateFactor = 2
-	// A leaf is ejected when its failures are above ejectAt and exceed the
-	// average of the other leaves by ejectMargin.
-	ejectAt     = 0.65
-	ejectMargin = 0.25
-	ejectMost   = 30 * time.Second
+	// A leaf is ejected when its failure rate is above ejectThreshold and exceeds the mean
+	// of the other leaves by more than ejectMargin.
+	ejectThreshold = 0.65
+	ejectMargin    = 0.25
+	maxProbeDelay  = 30 * time.Second
 )
 
-// FirstProbeDelay is the time between an ejection and the first probe.
+// FirstProbeDelay is the time between an ejection and the first probe. The delay doubles with
+// each failed probe, up to maxProbeDelay.
 const FirstProbeDelay = time.Second
 
-// Leaf decides on ejection from a leaf's own outcomes. The zero value is a leaf
-// of which nothing is known.
+// Leaf is the health of one leaf. The zero value is a leaf without outcomes.
 type Leaf struct {
-	// FailureRate is the moving average of failure, in [0, 1].
+	// FailureRate is the moving average of failures, in [0, 1].
 	FailureRate float64
 	ejected     bool
-	until       time.Time     // next probe
-	pause       time.Duration // time between probes
-	probing     bool
+	nextProbeAt time.Time
+	probeDelay  time.Duration // doubles with each failed probe
+	probing     bool          // a probe is in flight
 }
 
-// Usable reports whether work may go to the leaf: it is not ejected, or its
-// next probe is due and none is out.
+// Usable reports whether an attempt may go to the leaf: it is not ejected, or its next probe
+// is due and none is in flight.
 func (h *Leaf) Usable(now time.Time) bool {
-	return !h.ejected || (!h.probing && !now.Before(h.until))
+	return !h.ejected || (!h.probing && !now.Before(h.nextProbeAt))
 }
 
-// StartProbe notes that an attempt goes out and reports whether it is a probe.
+// StartProbe notes that an attempt is dispatched to the leaf and reports whether it is a probe.
 func (h *Leaf) StartProbe(now time.Time) bool {
-	if !h.ejected || h.probing || now.Before(h.until) {
+	if !h.ejected || h.probing || now.Before(h.nextProbeAt) {
 		return false
 	}
 	h.probing = true
 	return true
 }
 
-// EndInconclusiveProbe ends a probe that showed nothing.
+// EndInconclusiveProbe ends a probe whose outcome says nothing about the leaf. The next
+// attempt may be a probe again.
 func (h *Leaf) EndInconclusiveProbe() { h.probing = false }
 
-// RecordOutcome takes one result and reports whether the leaf has just come back.
-func (h *Leaf) RecordOutcome(failed bool, gain, others float64, now time.Time) bool {
-	h.FailureRate += gain * (value(failed) - h.FailureRate)
+// RecordOutcome adds one outcome with its weight to the failure rate. peersRate is the mean
+// failure rate of the other leaves. It reports whether the outcome ends the leaf's ejection.
+func (h *Leaf) RecordOutcome(failed bool, weight, peersRate float64, now time.Time) bool {
+	h.FailureRate += weight * (failureValue(failed) - h.FailureRate)
 	if h.ejected {
-		return h.judge(failed, now)
+		return h.endProbe(failed, now)
 	}
-	if failed && h.FailureRate > ejectAt && h.FailureRate > others+ejectMargin {
+	if failed && h.FailureRate > ejectThreshold && h.FailureRate > peersRate+ejectMargin {
 		h.ejected, h.probing = true, false
-		h.pause = FirstProbeDelay
-		h.until = now.Add(h.pause)
+		h.probeDelay = FirstProbeDelay
+		h.nextProbeAt = now.Add(h.probeDelay)
 	}
 	return false
 }
 
-// judge ends a probe. Results of attempts from before the ejection count for
-// a failure only.
-func (h *Leaf) judge(failed bool, now time.Time) bool {
+// endProbe ends a probe, and the ejection if it succeeded; it reports the latter. While no
+// probe is in flight, an outcome stems from an attempt that was dispatched before the
+// ejection, and counts for the failure rate only.
+func (h *Leaf) endProbe(failed bool, now time.Time) bool {
 	if !h.probing {
 		return false
 	}
 	h.probing = false
 	if failed {
-		h.pause = min(2*h.pause, ejectMost)
-		h.until = now.Add(h.pause)
+		h.probeDelay = min(2*h.probeDelay, maxProbeDelay)
+		h.nextProbeAt = now.Add(h.probeDelay)
 		return false
 	}
 	h.ejected, h.FailureRate = false, 0
 	return true
 }
 
-// OutcomeWeight is the weight of an outcome in the average of failure, 0 for one that
-// shows nothing. A cancelled attempt shows something when it was late: a leaf
-// that swallows requests is otherwise hidden by the hedges that answer. mean is
-// the mean latency of all leaves in seconds, 0 while it is unknown.
-func OutcomeWeight(s plugin.AttemptResult, mean float64) float64 {
+// OutcomeWeight is the weight of an outcome in the failure rate; 0 if it says nothing about
+// the leaf. An attempt that was cancelled late counts, as otherwise the hedges that are
+// answered in its place would hide a leaf that never answers. meanLatency is the mean over
+// all leaves in seconds; 0 while it is unknown.
+func OutcomeWeight(r plugin.AttemptResult, meanLatency float64) float64 {
 	switch {
-	case s.OK, s.Shed, s.Failed:
-		return failureGain
-	case s.TimedOut:
-		return timeoutGain
-	case s.Cancelled && mean > 0 && s.Latency.Seconds() > lateFactor*mean:
-		return lateGain
+	case r.OK, r.Shed, r.Failed:
+		return failureWeight
+	case r.TimedOut:
+		return timeoutWeight
+	case r.Cancelled && meanLatency > 0 && r.Latency.Seconds() > lateFactor*meanLatency:
+		return lateWeight
 	default:
 		return 0
 	}
 }
 
-// value is 1 for true.
-func value(b bool) float64 {
-	if b {
+// failureValue is the sample of an outcome in the failure rate.
+func failureValue(failed bool) float64 {
+	if failed {
 		return 1
 	}
 	return 0
--- a/plugins/internal/health/peers.go
+++ b/plugins/internal/health/peers.go
@@ -2,29 +2,31 @@
 
 import "time"
 
-// Peers keeps the sum of all leaves' averages of failure, by which one leaf is judged
-// against the others. The zero value has no leaf.
-type Peers struct{ failures float64 }
+// Peers holds the sum of the failure rates of all leaves of an upstream, to compare one leaf
+// with the mean of the others. The zero value is for no leaves.
+type Peers struct{ rateSum float64 }
 
-// RecordOutcome takes one result of a leaf, one of so many, and reports whether the leaf has
-// just come back. A gain of 0 is an outcome that shows nothing.
-func (p *Peers) RecordOutcome(leaf *Leaf, leaves int, failed bool, gain float64, now time.Time) bool {
-	if gain == 0 {
+// RecordOutcome records one outcome at a leaf and reports whether it ends the leaf's ejection.
+// leaves is the number of all leaves. A weight of 0 stands for an outcome that says nothing
+// about the leaf.
+func (p *Peers) RecordOutcome(leaf *Leaf, leaves int, failed bool, weight float64, now time.Time) bool {
+	if weight == 0 {
 		leaf.EndInconclusiveProbe()
 		return false
 	}
 	before := leaf.FailureRate
-	others := (p.failures - before) / float64(max(1, leaves-1))
-	back := leaf.RecordOutcome(failed, gain, others, now)
-	p.failures += leaf.FailureRate - before
-	return back
+	peersRate := (p.rateSum - before) / float64(max(1, leaves-1))
+	readmitted := leaf.RecordOutcome(failed, weight, peersRate, now)
+	p.rateSum += leaf.FailureRate - before
+	return readmitted
 }
 
-// UpdateMean moves a mean by one value, or begins it; 0 means that nothing is known.
-func UpdateMean(mean *float64, x, gain float64) {
+// UpdateMean adds a sample with the given weight to an exponential moving average. A mean of 0
+// has no samples yet and becomes the sample.
+func UpdateMean(mean *float64, sample, weight float64) {
 	if *mean == 0 {
-		*mean = x
+		*mean = sample
 		return
 	}
-	*mean += gain * (x - *mean)
+	*mean += weight * (sample - *mean)
 }
--- a/plugins/nearest/nearest.go
+++ b/plugins/nearest/nearest.go
@@ -1,8 +1,8 @@
-// Package nearest prefers a leaf of the entry's own zone as long as it is
-// expected to answer about as soon as another: bytes between zones are dear, and
-// an answer that is early has no more value than one that is in time. It learns
-// the delay of each leaf from replies and from attempts that were cancelled, and
-// notices a leaf that pauses by its oldest attempt.
+// Package nearest is the routing policy that prefers a leaf of the entry's own zone as long as
+// it is expected to answer about as soon as the others. Traffic between zones is expensive,
+// and an early answer is worth no more than one that is in time. The policy estimates the
+// delay of each leaf from replies and from cancelled attempts, and recognizes a leaf that
+// pauses by the age of its oldest attempt.
 package nearest
 
 import (
@@ -14,69 +14,72 @@
 	"github.com/fuchsiaroad/fuchsiaroad/plugins/internal/health"
 )
 
-// Name is the name that the policy registers under.
+// Name is the name under which the policy is registered.
 const Name = "nearest"
 
 const (
-	// crossing is how much sooner a leaf of another zone must be expected to
-	// answer: a fifth of the usual objective of a query over shards (100 ms),
-	// which a part of a query that answers in time does not miss.
-	crossing = 0.020 // seconds
-	// delayGain weighs one outcome in a leaf's moving average of delay. A leaf
-	// that turned slow is known after two.
-	delayGain = 0.3
-	// An attempt that was given up took at least as long as it was out. Two without
-	// a reply between them, further apart than leaves pause for a moment (120 ms),
-	// show a silent leaf: its delay counts silentTimes as long, with silentGain.
-	// Alone, the 40 ms after which hedges answer left a silent leaf of the own zone
-	// cheaper than one of another for four attempts.
-	silentAfter = 150 * time.Millisecond
-	silentTimes = 3
-	silentGain  = 0.6
-	// poolGain weighs one reply in the average over all leaves.
-	poolGain = 0.02
-	// forget is the time constant with which a delay that is not confirmed falls
-	// back to that of the others, so that a leaf which was slow is tried again
+	// crossZoneCost is how much sooner a leaf of another zone must be expected to answer to
+	// be chosen: a fifth of the usual latency objective of a query over shards (100 ms).
+	// A query can wait that long for a part and still be answered in time.
+	crossZoneCost = 0.020 // seconds
+	// delayWeight is the weight of one outcome in a leaf's moving average of delay. Two
+	// outcomes are enough to recognize a leaf that has become slow.
+	delayWeight = 0.3
+	// An attempt that was given up would have taken at least as long as it ran. If two late
+	// ones end without a reply between them, further apart than a short pause of a leaf
+	// (120 ms), the leaf has stopped answering: the delay is then multiplied by
+	// unansweredFactor and weighted with unansweredWeight. Without this, attempts that are
+	// given up after 40 ms, when a hedge is answered, left such a leaf of the own zone
+	// cheaper than one of another zone for four attempts.
+	unansweredGap    = 150 * time.Millisecond
+	unansweredFactor = 3
+	unansweredWeight = 0.6
+	// allLeavesWeight is the weight of one reply in the average over all leaves.
+	allLeavesWeight = 0.02
+	// forgetTime is the time constant with which a leaf's delay returns to the average over
+	// all leaves while no outcome confirms it. A leaf that was slow is thus tried again
 	// after about three seconds.
-	forget = 2.0 // seconds
-	// busyShare is what one attempt in flight adds to a leaf's expected delay,
-	// as a share of it: a leaf runs at least two at once.
-	busyShare = 0.5
-	// overdue times the usual delay makes the oldest attempt in flight a sign
-	// that the leaf pauses.
-	overdue = 2.5
-	// mostFailures bounds the factor that failures add to a leaf's cost.
-	mostFailures = 0.95
-	// slowStart is how long a leaf that was ejected counts as dearer, at first
-	// by slowFactor.
-	slowStart  = 3.0 // seconds
-	slowFactor = 3.0
+	forgetTime = 2.0 // seconds
+	// inFlightShare is the share of a leaf's expected delay that each attempt in flight adds
+	// to it. It is less than 1, as a leaf runs at least two attempts at once.
+	inFlightShare = 0.5
+	// overdueFactor times a leaf's expected delay is the age from which an attempt in flight
+	// shows that the leaf pauses. The same factor times the average over all leaves makes
+	// an attempt that was given up late.
+	overdueFactor = 2.5
+	// maxFailureRate bounds the failure rate in a leaf's cost, which is divided by one minus
+	// that rate.
+	maxFailureRate = 0.95
+	// slowStartTime is how long the cost of a leaf is raised after its ejection, at first
+	// by slowStartFactor.
+	slowStartTime   = 3.0 // seconds
+	slowStartFactor = 3.0
 )
 
-// leaf is what the policy knows of one leaf.
+// leaf is the state of one leaf.
 type leaf struct {
-	delay    float64 // moving average, seconds; 0: unknown
-	learntAt time.Time
-	// unansweredAt is when the first late attempt since the last reply was given
-	// up; zero when none was.
+	delay     float64   // moving average, seconds; 0: unknown
+	updatedAt time.Time // of the delay
+	// unansweredAt is when the first late attempt since the last reply was given up; zero
+	// if there is none.
 	unansweredAt time.Time
 	health       health.Leaf
-	backAt       time.Time // when an ejected leaf came back
-	reportedAt   time.Time // when others last saw it slow
+	readmittedAt time.Time // when the last ejection ended
+	reportedAt   time.Time // when another instance last saw the leaf slow
 }
 
 type policy struct {
 	rand         *rand.Rand
 	leaves       []leaf
 	peers        health.Peers
-	delay        float64 // moving average over all leaves, seconds
-	observations []plugin.Observation
+	delay        float64              // moving average over all leaves, seconds
+	observations []plugin.Observation // to be shared
 }
 
-// New returns an independent instance.
+// New returns a new, independent policy.
 func New(cfg plugin.RoutingConfig) plugin.Routing { return &policy{rand: cfg.Rand} }
 
-// leaf returns the state of the key, which is made when it is new.
+// leaf returns the state of the leaf with the key, and creates it if needed.
 func (p *policy) leaf(key int) *leaf {
 	for key >= len(p.leaves) {
 		p.leaves = append(p.leaves, leaf{})
@@ -84,10 +87,11 @@
 	return &p.leaves[key]
 }
 
-// Usable is false for an ejected leaf until its probe is due.
+// Usable is false for an ejected leaf until its next probe is due.
 func (p *policy) Usable(key int, now time.Time) bool { return p.leaf(key).health.Usable(now) }
 
-// Pick takes the candidate with the least cost, one of equals by chance.
+// Pick returns the candidate with the least cost. The random start of the search picks one of
+// several with equal costs.
 func (p *policy) Pick(candidates []plugin.Candidate, now time.Time) (int, string) {
 	best, least := 0, math.Inf(1)
 	start := p.rand.IntN(len(candidates))
@@ -110,10 +114,9 @@
 	}
 }
 
-// about is by how much later than the best a candidate may be expected to answer and
-// still count as about as good: a tenth of the usual objective of a query over shards
-// (100 ms).
-const about = 0.010 // seconds
+// nearBestMargin is how much more than the best candidate's cost another one's may be to count
+// as about as good: a tenth of the usual latency objective of a query over shards (100 ms).
+const nearBestMargin = 0.010 // seconds
 
 // NearBest implements plugin.NearBestLister.
 func (p *policy) NearBest(candidates []plugin.Candidate, now time.Time) []int {
@@ -127,117 +130,121 @@
 	}
 	out := []int{best}
 	for i, cost := range costs {
-		if i != best && cost <= costs[best]+about {
+		if i != best && cost <= costs[best]+nearBestMargin {
 			out = append(out, i)
 		}
 	}
 	return out
 }
 
-// cost is the expected delay in seconds, with the price of crossing zones.
+// cost is the expected delay in seconds, raised for failures, slow start and another zone.
 func (p *policy) cost(c plugin.Candidate, now time.Time) float64 {
 	l := p.leaf(c.Key)
-	delay := p.expected(l, now)
-	cost := delay * (1 + busyShare*float64(c.InFlight))
-	if oldest := c.OldestAge.Seconds(); oldest > overdue*delay {
+	delay := p.expectedDelay(l, now)
+	cost := delay * (1 + inFlightShare*float64(c.InFlight))
+	if oldest := c.OldestAge.Seconds(); oldest > overdueFactor*delay {
 		cost = max(cost, oldest)
 	}
-	cost = cost / (1 - min(l.health.FailureRate, mostFailures)) * l.slow(now)
+	cost = cost / (1 - min(l.health.FailureRate, maxFailureRate)) * l.slowStart(now)
 	if !c.Local {
-		cost += crossing
+		cost += crossZoneCost
 	}
 	return cost
 }
 
-// expected is a leaf's delay as far as it is still known.
-func (p *policy) expected(l *leaf, now time.Time) float64 {
+// expectedDelay is the leaf's delay in seconds, moved toward the average over all leaves by the
+// time since its last update.
+func (p *policy) expectedDelay(l *leaf, now time.Time) float64 {
 	if l.delay == 0 {
 		return p.delay
 	}
-	kept := math.Exp(-now.Sub(l.learntAt).Seconds() / forget)
-	return p.delay + (l.delay-p.delay)*kept
+	weight := math.Exp(-now.Sub(l.updatedAt).Seconds() / forgetTime)
+	return p.delay + (l.delay-p.delay)*weight
 }
 
-// slow is the factor of slow start, which falls to 1.
-func (l *leaf) slow(now time.Time) float64 {
-	if l.backAt.IsZero() {
+// slowStart is the factor by which the leaf's cost is raised after an ejection; it falls to 1.
+func (l *leaf) slowStart(now time.Time) float64 {
+	if l.readmittedAt.IsZero() {
 		return 1
 	}
-	left := 1 - now.Sub(l.backAt).Seconds()/slowStart
-	return 1 + max(0, left)*(slowFactor-1)
+	left := 1 - now.Sub(l.readmittedAt).Seconds()/slowStartTime
+	return 1 + max(0, left)*(slowStartFactor-1)
 }
 
-// RecordResult teaches delay and health. An attempt that was cancelled, or that met
-// its deadline, took at least as long as it was out.
-func (p *policy) RecordResult(key int, s plugin.AttemptResult, now time.Time) {
+// RecordResult updates the leaf's delay and health.
+func (p *policy) RecordResult(key int, r plugin.AttemptResult, now time.Time) {
 	l := p.leaf(key)
 	switch {
-	case s.OK:
+	case r.OK:
 		l.unansweredAt = time.Time{}
-		p.learn(l, s.Latency.Seconds(), delayGain, now)
-		health.UpdateMean(&p.delay, s.Latency.Seconds(), poolGain)
-	case s.Cancelled, s.TimedOut:
-		p.givenUp(l, s.Latency.Seconds(), now)
+		p.updateDelay(l, r.Latency.Seconds(), delayWeight, now)
+		health.UpdateMean(&p.delay, r.Latency.Seconds(), allLeavesWeight)
+	case r.Cancelled, r.TimedOut:
+		p.recordUnanswered(l, r.Latency.Seconds(), now)
 	}
-	p.sight(key, s, now)
-	if p.peers.RecordOutcome(&l.health, len(p.leaves), !s.OK, health.OutcomeWeight(s, p.delay), now) {
-		l.backAt = now
+	p.recordObservation(key, r, now)
+	if p.peers.RecordOutcome(&l.health, len(p.leaves), !r.OK, health.OutcomeWeight(r, p.delay), now) {
+		l.readmittedAt = now
 	}
 }
 
-// givenUp teaches an attempt that ended without a reply.
-func (p *policy) givenUp(l *leaf, took float64, now time.Time) {
-	late := took > overdue*p.delay
+// recordUnanswered updates the delay by an attempt that was cancelled or reached its deadline.
+// It would have taken at least as long as it ran.
+func (p *policy) recordUnanswered(l *leaf, elapsed float64, now time.Time) {
+	late := elapsed > overdueFactor*p.delay
 	if late && l.unansweredAt.IsZero() {
 		l.unansweredAt = now
 	}
-	if late && now.Sub(l.unansweredAt) >= silentAfter {
-		p.learn(l, silentTimes*took, silentGain, now)
+	if late && now.Sub(l.unansweredAt) >= unansweredGap {
+		p.updateDelay(l, unansweredFactor*elapsed, unansweredWeight, now)
 		return
 	}
-	if took > p.expected(l, now) {
-		p.learn(l, took, delayGain, now)
+	if elapsed > p.expectedDelay(l, now) {
+		p.updateDelay(l, elapsed, delayWeight, now)
 	}
 }
 
-// learn adds one delay to a leaf's average. What was known and not confirmed
-// since has faded first.
-func (p *policy) learn(l *leaf, took, gain float64, now time.Time) {
+// updateDelay adds one delay to the leaf's average, after moving the average toward that of all
+// leaves by the time since its last update.
+func (p *policy) updateDelay(l *leaf, elapsed, weight float64, now time.Time) {
 	if l.delay != 0 {
-		l.delay = p.expected(l, now)
+		l.delay = p.expectedDelay(l, now)
 	}
-	health.UpdateMean(&l.delay, took, gain)
-	l.learntAt = now
+	health.UpdateMean(&l.delay, elapsed, weight)
+	l.updatedAt = now
 }
 
-// Bounds of what is sent to other instances.
+// Bounds on the observations that are shared with other instances.
 const (
-	// slowTimes the usual delay makes an outcome slow.
-	slowTimes = 3
-	// failedTook stands for the delay of an attempt that failed.
-	failedTook = 500 * time.Millisecond
-	// clearFor is for how long after others saw a leaf slow a good reply is sent.
-	clearFor = 3 * time.Second
-	// mostObservations bounds what waits to be sent.
-	mostObservations = 128
+	// slowFactor times the average delay over all leaves is the delay from which an outcome
+	// is slow.
+	slowFactor = 3
+	// failedElapsed is reported as the delay of an attempt that failed.
+	failedElapsed = 500 * time.Millisecond
+	// recoveryReportTime is how long after another instance saw a leaf slow a reply in the
+	// usual time is shared.
+	recoveryReportTime = 3 * time.Second
+	// maxPendingObservations bounds the observations that wait to be shared.
+	maxPendingObservations = 128
 )
 
-// sight keeps an outcome that others should know of.
-func (p *policy) sight(key int, s plugin.AttemptResult, now time.Time) {
-	if len(p.observations) >= mostObservations || p.delay == 0 {
+// recordObservation keeps an outcome that is to be shared: a slow or failed one, or a reply in
+// the usual time from a leaf that another instance reported as slow.
+func (p *policy) recordObservation(key int, r plugin.AttemptResult, now time.Time) {
+	if len(p.observations) >= maxPendingObservations || p.delay == 0 {
 		return
 	}
-	seen := plugin.Observation{Key: key, Elapsed: s.Latency, At: now}
-	switch late := s.Latency.Seconds() > slowTimes*p.delay; {
-	case s.Failed:
-		seen.Elapsed, seen.Slow = failedTook, true
-	case late && (s.OK || s.Cancelled || s.TimedOut):
-		seen.Slow = true
-	case s.OK && now.Sub(p.leaf(key).reportedAt) < clearFor:
+	observation := plugin.Observation{Key: key, Elapsed: r.Latency, At: now}
+	switch late := r.Latency.Seconds() > slowFactor*p.delay; {
+	case r.Failed:
+		observation.Elapsed, observation.Slow = failedElapsed, true
+	case late && (r.OK || r.Cancelled || r.TimedOut):
+		observation.Slow = true
+	case r.OK && now.Sub(p.leaf(key).reportedAt) < recoveryReportTime:
 	default:
 		return
 	}
-	p.observations = append(p.observations, seen)
+	p.observations = append(p.observations, observation)
 }
 
 // Observations implements plugin.ObservationSharer.
@@ -247,21 +254,21 @@
 	return out
 }
 
-// PeerReported implements plugin.ObservationSharer. What this instance has seen since counts more.
-func (p *policy) PeerReported(key int, took time.Duration, at time.Time) {
+// PeerReported implements plugin.ObservationSharer. A report that is older than this instance's
+// own last outcome at the leaf is ignored.
+func (p *policy) PeerReported(key int, elapsed time.Duration, at time.Time) {
 	l := p.leaf(key)
-	if !at.After(l.learntAt) || !at.After(l.reportedAt) {
+	if !at.After(l.updatedAt) || !at.After(l.reportedAt) {
 		return
 	}
 	l.reportedAt = at
-	l.delay = max(p.expected(l, at), took.Seconds())
-	// Instances forget at different times, so that not all of them try the leaf
-	// again at the same moment.
-	l.learntAt = at.Add(time.Duration(p.rand.Float64() * float64(forgetSpread)))
+	l.delay = max(p.expectedDelay(l, at), elapsed.Seconds())
+	// The random delay keeps the instances from trying the leaf again at the same moment.
+	l.updatedAt = at.Add(time.Duration(p.rand.Float64() * float64(forgetSpread)))
 }
 
-// forgetSpread is by how much later some instances forget what they were sent.
+// forgetSpread bounds the random delay until an instance starts to forget a peer's report.
 const forgetSpread = 1500 * time.Millisecond
 
-// RecordLoadHint is not used: what load endpoints say lags.
+// RecordLoadHint ignores the hint, as load endpoints lag.
 func (p *policy) RecordLoadHint(int, int, int, time.Time) {}
--- a/plugins/nearest/nearest_test.go
+++ b/plugins/nearest/nearest_test.go
@@ -14,8 +14,9 @@
 	remote = 1
 )
 
-// fixture is a policy that knows a local and a remote leaf of equal delay.
-func fixture(now time.Time) plugin.Routing {
+// newPolicyWithReplies returns a policy that has seen a local and a remote leaf reply with
+// equal delays.
+func newPolicyWithReplies(now time.Time) plugin.Routing {
 	p := New(plugin.RoutingConfig{Rand: rand.New(rand.NewPCG(1, 1))})
 	for range 50 {
 		reply(p, local, 12*time.Millisecond, now)
@@ -24,11 +25,13 @@
 	return p
 }
 
-func reply(p plugin.Routing, key int, took time.Duration, now time.Time) {
-	p.RecordResult(key, plugin.AttemptResult{OK: true, Latency: took}, now)
+// reply records a reply of a leaf.
+func reply(p plugin.Routing, key int, latency time.Duration, now time.Time) {
+	p.RecordResult(key, plugin.AttemptResult{OK: true, Latency: latency}, now)
 }
 
-// pick returns the key chosen of both leaves.
+// pick returns the key of the leaf that is picked from the local and the remote one. change,
+// if not nil, modifies the local candidate.
 func pick(p plugin.Routing, now time.Time, change func(*plugin.Candidate)) int {
 	candidates := []plugin.Candidate{{Key: local, Limit: 3, Local: true}, {Key: remote, Limit: 3}}
 	if change != nil {
@@ -38,55 +41,56 @@
 	return candidates[i].Key
 }
 
-// TestOwnZoneFirst checks when the other zone is worth its price.
-func TestOwnZoneFirst(t *testing.T) {
+// TestOwnZoneIsPreferredUnlessFarSlower checks in which states of the local leaf the remote one
+// is picked.
+func TestOwnZoneIsPreferredUnlessFarSlower(t *testing.T) {
 	start := time.Unix(1000, 0)
 	for _, tc := range []struct {
-		name  string
-		teach func(p plugin.Routing)
-		now   time.Time
-		local func(*plugin.Candidate)
-		want  int
+		name    string
+		prepare func(p plugin.Routing)
+		now     time.Time
+		local   func(*plugin.Candidate)
+		want    int
 	}{
-		{name: "alike", want: local},
-		{name: "busy with one", local: func(c *plugin.Candidate) { c.InFlight = 1 }, want: local},
-		{name: "a little slower", teach: func(p plugin.Routing) { reply(p, local, 25*time.Millisecond, start) }, want: local},
-		{name: "nine times slower, seen twice", teach: func(p plugin.Routing) {
+		{name: "equal", want: local},
+		{name: "one attempt in flight", local: func(c *plugin.Candidate) { c.InFlight = 1 }, want: local},
+		{name: "a little slower", prepare: func(p plugin.Routing) { reply(p, local, 25*time.Millisecond, start) }, want: local},
+		{name: "nine times slower, seen twice", prepare: func(p plugin.Routing) {
 			reply(p, local, 108*time.Millisecond, start)
 			reply(p, local, 108*time.Millisecond, start)
 		}, want: remote},
-		{name: "silent, given up twice", teach: func(p plugin.Routing) {
+		{name: "two attempts given up, no reply between", prepare: func(p plugin.Routing) {
 			p.RecordResult(local, plugin.AttemptResult{Cancelled: true, Latency: 40 * time.Millisecond}, start.Add(-200*time.Millisecond))
 			p.RecordResult(local, plugin.AttemptResult{Cancelled: true, Latency: 40 * time.Millisecond}, start)
 		}, want: remote},
-		{name: "given up twice within a pause", teach: func(p plugin.Routing) {
+		{name: "two attempts given up within a short pause", prepare: func(p plugin.Routing) {
 			p.RecordResult(local, plugin.AttemptResult{Cancelled: true, Latency: 40 * time.Millisecond}, start.Add(-100*time.Millisecond))
 			p.RecordResult(local, plugin.AttemptResult{Cancelled: true, Latency: 40 * time.Millisecond}, start)
 		}, want: local},
-		{name: "paused once, then well", teach: func(p plugin.Routing) {
+		{name: "two attempts given up, a reply between", prepare: func(p plugin.Routing) {
 			p.RecordResult(local, plugin.AttemptResult{Cancelled: true, Latency: 40 * time.Millisecond}, start.Add(-time.Second))
 			reply(p, local, 12*time.Millisecond, start.Add(-500*time.Millisecond))
 			p.RecordResult(local, plugin.AttemptResult{Cancelled: true, Latency: 40 * time.Millisecond}, start)
 		}, want: local},
-		{name: "known only from cancelled attempts", teach: func(p plugin.Routing) {
+		{name: "three attempts given up at once", prepare: func(p plugin.Routing) {
 			for range 3 {
 				p.RecordResult(local, plugin.AttemptResult{Cancelled: true, Latency: 60 * time.Millisecond}, start)
 			}
 		}, want: remote},
-		{name: "slow some time ago", teach: func(p plugin.Routing) {
+		{name: "slow some time ago", prepare: func(p plugin.Routing) {
 			reply(p, local, 108*time.Millisecond, start)
 			reply(p, local, 108*time.Millisecond, start)
 		}, now: start.Add(5 * time.Second), want: local},
-		{name: "paused", local: func(c *plugin.Candidate) { c.InFlight, c.OldestAge = 1, 45*time.Millisecond }, want: remote},
-		{name: "fails", teach: func(p plugin.Routing) {
+		{name: "oldest attempt overdue", local: func(c *plugin.Candidate) { c.InFlight, c.OldestAge = 1, 45*time.Millisecond }, want: remote},
+		{name: "two failures", prepare: func(p plugin.Routing) {
 			for range 2 {
 				p.RecordResult(local, plugin.AttemptResult{Failed: true}, start)
 			}
 		}, want: remote},
 	} {
-		p := fixture(start)
-		if tc.teach != nil {
-			tc.teach(p)
+		p := newPolicyWithReplies(start)
+		if tc.prepare != nil {
+			tc.prepare(p)
 		}
 		now := tc.now
 		if now.IsZero() {
@@ -98,10 +102,10 @@
 	}
 }
 
-// TestEjectedLeafIsProbed plays a leaf that fails until it is ejected, and back.
-func TestEjectedLeafIsProbed(t *testing.T) {
+// TestEjectedLeafReturnsAfterProbe lets a leaf fail until it is ejected, and answer its probe.
+func TestEjectedLeafReturnsAfterProbe(t *testing.T) {
 	now := time.Unix(1000, 0)
-	p := fixture(now)
+	p := newPolicyWithReplies(now)
 	for range 4 {
 		p.RecordResult(local, plugin.AttemptResult{Failed: true}, now)
 	}
@@ -119,10 +123,11 @@
 	}
 }
 
-// TestComparable lists the best candidate first, and those that are about as good.
-func TestComparable(t *testing.T) {
+// TestNearBestListsBestFirst checks that the list starts with the best candidate and has only
+// those that are about as good.
+func TestNearBestListsBestFirst(t *testing.T) {
 	start := time.Unix(1000, 0)
-	p := fixture(start)
+	p := newPolicyWithReplies(start)
 	const slow, fast = 2, 3
 	for range 20 {
 		reply(p, slow, 108*time.Millisecond, start)
@@ -130,9 +135,9 @@
 	}
 	candidates := []plugin.Candidate{{Key: slow}, {Key: remote}, {Key: fast}}
 	if got := p.(plugin.NearBestLister).NearBest(candidates, start); !slices.Equal(got, []int{2, 1}) {
-		t.Errorf("comparable %v, want the fast one and the other, and not the slow one", got)
+		t.Errorf("near best %v, want the fast and the remote leaf, and not the slow one", got)
 	}
 	if got := p.(plugin.NearBestLister).NearBest(append(candidates, plugin.Candidate{Key: local, Local: true}), start); !slices.Equal(got, []int{3}) {
-		t.Errorf("comparable %v, want the one of the own zone alone", got)
+		t.Errorf("near best %v, want the leaf of the own zone alone", got)
 	}
 }
--- a/plugins/nohedge/nohedge.go
+++ b/plugins/nohedge/nohedge.go
@@ -1,4 +1,4 @@
-// Package nohedge is the baseline repetition policy that sends nothing twice.
+// Package nohedge is the baseline repetition policy that sends neither hedges nor retries.
 package nohedge
 
 import (
@@ -7,25 +7,25 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/plugin"
 )
 
-// Name is the name that the policy registers under.
+// Name is the name under which the policy is registered.
 const Name = "none"
 
 type policy struct{}
 
-// New returns an independent instance.
+// New returns a new, independent policy.
 func New(plugin.RepetitionConfig) plugin.Repetition { return policy{} }
 
-// Deposit is ignored.
+// Deposit does nothing, as there are no budgets.
 func (policy) Deposit() {}
 
-// HedgeAfter gives no hedge.
+// HedgeAfter returns false: there are no hedges.
 func (policy) HedgeAfter(plugin.Quantiler) (time.Duration, bool) { return 0, false }
 
-// TakeHedge refuses.
+// TakeHedge always refuses.
 func (policy) TakeHedge(time.Time) bool { return false }
 
-// TakeRetry refuses.
+// TakeRetry always refuses.
 func (policy) TakeRetry(time.Time) bool { return false }
 
-// RecordShed is ignored.
+// RecordShed does nothing.
 func (policy) RecordShed(time.Time) {}
--- a/plugins/objective/objective.go
+++ b/plugins/objective/objective.go
@@ -1,5 +1,5 @@
-// Package objective hedges after a share of the service's latency objective and
-// leaves the bound of repetition to the limits of the shards.
+// Package objective is the repetition policy that hedges after a fixed share of the service's
+// latency objective. It has no budgets: the shards' own limits on repeats bound it.
 package objective
 
 import (
@@ -8,40 +8,43 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/plugin"
 )
 
-// Name is the name that the policy registers under.
+// Name is the name under which the policy is registered.
 const Name = "objective"
 
 const (
-	// hedgeShare is the share of the objective after which a part is asked
-	// again: what is left then is enough for one more exchange.
+	// hedgeShare is the share of the objective after which a hedge is sent: the time that
+	// remains is enough for one more exchange.
 	hedgeShare = 0.25
-	// shedPause is how long no hedge is sent after a leaf or queue was overloaded.
+	// shedPause is how long no hedge is sent after a leaf or a queue refused work because of
+	// overload.
 	shedPause = 20 * time.Millisecond
 )
 
 type policy struct {
-	after    time.Duration
-	lastShed time.Time
+	hedgeAfter time.Duration
+	lastShed   time.Time
 }
 
-// New returns an independent instance.
+// New returns a new, independent policy.
 func New(cfg plugin.RepetitionConfig) plugin.Repetition {
-	return &policy{after: time.Duration(hedgeShare * float64(cfg.Objective))}
+	return &policy{hedgeAfter: time.Duration(hedgeShare * float64(cfg.Objective))}
 }
 
-// Deposit is not needed: the shards' limits count requests.
+// Deposit does nothing: the shards' limits count the requests.
 func (p *policy) Deposit() {}
 
-// HedgeAfter is a share of the objective; without one there is no hedge.
-func (p *policy) HedgeAfter(plugin.Quantiler) (time.Duration, bool) { return p.after, p.after > 0 }
+// HedgeAfter returns hedgeShare of the objective; without an objective there is no hedge.
+func (p *policy) HedgeAfter(plugin.Quantiler) (time.Duration, bool) {
+	return p.hedgeAfter, p.hedgeAfter > 0
+}
 
-// TakeHedge refuses shortly after overload.
+// TakeHedge refuses for shedPause after work was refused because of overload.
 func (p *policy) TakeHedge(now time.Time) bool {
 	return p.lastShed.IsZero() || now.Sub(p.lastShed) >= shedPause
 }
 
-// TakeRetry leaves the bound to the shards' limits.
+// TakeRetry always grants, as the shards' limits bound the retries.
 func (p *policy) TakeRetry(time.Time) bool { return true }
 
-// RecordShed notes overload.
+// RecordShed notes the time of the overload.
 func (p *policy) RecordShed(now time.Time) { p.lastShed = now }
--- a/plugins/roundrobin/roundrobin.go
+++ b/plugins/roundrobin/roundrobin.go
@@ -1,5 +1,5 @@
-// Package roundrobin is the baseline routing policy: each leaf in turn,
-// whatever it did before.
+// Package roundrobin is the baseline routing policy: each leaf in turn, regardless of its
+// latency and failures.
 package roundrobin
 
 import (
@@ -8,15 +8,15 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/plugin"
 )
 
-// Name is the name that the policy registers under.
+// Name is the name under which the policy is registered.
 const Name = "round-robin"
 
 type policy struct{ next int }
 
-// New returns an independent instance.
+// New returns a new, independent policy.
 func New(plugin.RoutingConfig) plugin.Routing { return &policy{} }
 
-// Usable is always true: nothing is ejected.
+// Usable is always true: no leaf is ejected.
 func (*policy) Usable(int, time.Time) bool { return true }
 
 // Pick takes the candidates in turn.
@@ -25,8 +25,8 @@
 	return p.next % len(candidates), "in turn"
 }
 
-// RecordResult is ignored.
+// RecordResult ignores the result.
 func (*policy) RecordResult(int, plugin.AttemptResult, time.Time) {}
 
-// RecordLoadHint is ignored.
+// RecordLoadHint ignores the hint.
 func (*policy) RecordLoadHint(int, int, int, time.Time) {}
