--- a/entry/control/members.go
+++ b/entry/control/members.go
@@ -28,7 +28,7 @@
 			c.sendDigest(a.Peer)
 		case membership.GenerationReported:
 			c.roll(rollout.PeerAhead{Peer: a.Peer.Instance, Generation: a.Generation})
-		case membership.MembershipChanged:
+		case membership.MembersChanged:
 			c.shares.follow(c.membership.Entries(), time.Now())
 			c.rollout.SetInstances(len(c.membership.Entries()))
 			c.publish()
--- a/kernel/membership/machine.go
+++ b/kernel/membership/machine.go
@@ -237,7 +237,7 @@
 	leaving, entries := m.computeLeaving(now), m.computeEntries(now)
 	if !maps.Equal(leaving, m.leaving) || !slices.Equal(entries, m.entries) {
 		m.leaving, m.entries = leaving, entries
-		m.emit(MembershipChanged{})
+		m.emit(MembersChanged{})
 	}
 	if m.nextRound.IsZero() {
 		m.nextRound = now
--- a/kernel/membership/messages.go
+++ b/kernel/membership/messages.go
@@ -87,8 +87,8 @@
 // SendDigest asks for an exchange of digests with a peer.
 type SendDigest struct{ Peer Peer }
 
-// MembershipChanged reports that the set of leaving leaves or the set of entries changed.
-type MembershipChanged struct{}
+// MembersChanged reports that the set of leaving leaves or the set of entries changed.
+type MembersChanged struct{}
 
 // GenerationReported reports the generation in force at a peer, for each digest received.
 type GenerationReported struct {
@@ -100,7 +100,7 @@
 type WakeAt struct{ At time.Time }
 
 func (SendDigest) isAction()         {}
-func (MembershipChanged) isAction()  {}
+func (MembersChanged) isAction()     {}
 func (GenerationReported) isAction() {}
 func (WakeAt) isAction()             {}
 
