--- a/kernel/fleet/connections_test.go
+++ b/kernel/fleet/connections_test.go
@@ -88,7 +88,7 @@
 	for _, f := range fleetsWithList(strongAndWeak(18)) {
 		strong := f.self.CPUs > 0.5
 		if got := f.UsesTransientConnections(limit, many); got == strong {
-			t.Errorf("%s uses transient connections for a query over many shards: %v, want %v", f.self.Name, got, !strong)
+			t.Errorf("%s uses transient connections for a query over many shards: %v, want the opposite", f.self.Name, got)
 		}
 		if !f.UsesTransientConnections(limit, few) || f.UsesTransientConnections(60, few) {
 			t.Errorf("%s keeps one of 53 connections for 60 instances, or keeps none of 60", f.self.Name)
--- a/kernel/fleet/fleet_test.go
+++ b/kernel/fleet/fleet_test.go
@@ -35,7 +35,7 @@
 // store, and that only one instance of each zone synchronizes from another zone.
 func TestInstancesAgreeOnOneReader(t *testing.T) {
 	list := append(zoneOf("a", 5), zoneOf("b", 3)...)
-	readers, crossing := 0, map[string]int{}
+	readers, crossZone := 0, map[string]int{}
 	for i, f := range fleetsWithList(list) {
 		if f.Size() != len(list) {
 			t.Fatalf("size %d, want %d", f.Size(), len(list))
@@ -45,11 +45,11 @@
 		case role == RoleReader:
 			readers++
 		case r.Zone != list[i].Zone:
-			crossing[list[i].Zone]++
+			crossZone[list[i].Zone]++
 		}
 	}
-	if readers != 1 || crossing["a"]+crossing["b"] != 1 {
-		t.Errorf("%d readers and %v that synchronize from another zone, want one of each", readers, crossing)
+	if readers != 1 || crossZone["a"]+crossZone["b"] != 1 {
+		t.Errorf("%d readers and %v that synchronize from another zone, want one of each", readers, crossZone)
 	}
 }
 
--- a/kernel/fleet/sources.go
+++ b/kernel/fleet/sources.go
@@ -96,7 +96,8 @@
 	return best
 }
 
-// seeds are the instances whose addresses the settings name. An address may be out of date.
+// seeds are the instances whose addresses the settings name. An address may be out of date, and
+// its instance may be down.
 type seeds struct {
 	list         []Instance // with an address only
 	includesSelf bool       // this instance is a seed
