--- a/kernel/query/bench_test.go
+++ b/kernel/query/bench_test.go
@@ -17,7 +17,7 @@
 	shards := leaves / 2
 	up := document.Upstream{Name: "u", KeySpace: uint64(shards) * 16}
 	for s := range shards {
-		up.Shards = append(up.Shards, docShard(shardSpec{
+		up.Shards = append(up.Shards, documentShard(shardSpec{
 			r:      keyrange.Range{From: uint64(s) * 16, To: uint64(s+1) * 16},
 			leaves: []string{fmt.Sprintf("%d-a", s), fmt.Sprintf("%d-b", s)},
 		}))
@@ -53,7 +53,7 @@
 func benchQuery(b *testing.B, v *view.View, tracker *snapshot.Tracker) int {
 	m := query.New(query.Config{
 		View: v, Service: v.Services[serviceName], Start: epoch, Deadline: epoch.Add(deadline), Versions: tracker,
-		Budget: &tokens{retries: plenty}, HedgeAfter: func(int) time.Duration { return time.Millisecond },
+		Budget: &fixedBudget{retries: unlimited}, HedgeAfter: func(int) time.Duration { return time.Millisecond },
 	})
 	shards := len(v.Upstreams[0].Shards)
 	now := epoch
@@ -68,7 +68,7 @@
 			m.Handle(query.Sent{Attempt: o.Attempt, Leaf: leaf}, now)
 			if i%10 > 0 || leaf != 2*o.Shard {
 				r := query.Reply{Attempt: o.Attempt, Leaf: leaf, Version: 7, Ranges: []keyrange.Range{o.Part.Range}}
-				if done := benchDone(m.Handle(r, now)); done != nil {
+				if done := finishedAnswer(m.Handle(r, now)); done != nil {
 					if done.Outcome != query.Complete {
 						b.Fatalf("%s: %s", done.Outcome, done.Reason)
 					}
@@ -83,7 +83,7 @@
 	return 0
 }
 
-func benchDone(actions []query.Action) *query.Answer {
+func finishedAnswer(actions []query.Action) *query.Answer {
 	for _, a := range actions {
 		if f, ok := a.(query.Finish); ok {
 			return &f.Answer
--- a/kernel/query/cases_test.go
+++ b/kernel/query/cases_test.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	plenty    = 1 << 30
-	mostMoves = 3 // the machine's bound, stated in docs/design/query.md
+	unlimited       = 1 << 30
+	maxVersionMoves = 3 // the machine's bound, stated in docs/design/query.md
 )
 
 var idempotent = document.Service{Idempotent: true}
 
 // waitForProbe lets time pass to the wake-up when nothing runs.
 func (w *world) waitForProbe() {
-	for w.answer == nil && !slices.ContainsFunc(w.attempts, (*tried).live) {
-		w.now = w.wake
+	for w.answer == nil && !slices.ContainsFunc(w.attempts, (*attemptRecord).live) {
+		w.now = w.wakeAt
 		w.handle(query.Tick{})
 	}
 }
@@ -33,26 +33,26 @@
 	for i := 0; i < len(w.attempts) && w.answer == nil; i++ {
 		a := w.attempts[i]
 		if a.live() && !a.sent {
-			w.send(query.AttemptID(i+1), w.allowed(w.remapped(a.offer))[0])
+			w.send(query.AttemptID(i+1), w.allowedLeaves(w.remapOffer(a.offer))[0])
 		}
 	}
 }
 
-// runHonestly sends and answers until the query is done.
-func (w *world) runHonestly() {
+// runToAnswer sends and answers until the query is done.
+func (w *world) runToAnswer() {
 	for w.answer == nil {
 		w.sendAll()
 		for i := 0; i < len(w.attempts) && w.answer == nil; i++ {
 			id := query.AttemptID(i + 1)
 			if a := w.attempts[i]; a.live() && a.sent {
-				w.honestAnswer(id, w.sentTo[id], false)
+				w.answerTruthfully(id, w.sentTo[id], false)
 			}
 		}
 	}
 }
 
-// want fails unless the answer has the outcome and the reason.
-func (w *world) want(outcome query.Outcome, reason string) {
+// wantOutcome fails unless the answer has the outcome and the reason.
+func (w *world) wantOutcome(outcome query.Outcome, reason string) {
 	w.t.Helper()
 	if w.answer == nil {
 		w.t.Fatalf("no answer, want %s", outcome)
@@ -69,7 +69,7 @@
 func TestStaticVersionsReachBestCoverage(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		shards := rapid.IntRange(1, 6).Draw(t, "shards")
-		w := newWorld(t, idempotent, grid("a", shards, rapid.IntRange(1, 2).Draw(t, "replicas")))
+		w := newWorld(t, idempotent, equalShards("a", shards, rapid.IntRange(1, 2).Draw(t, "replicas")))
 		seen := rapid.SampledFrom([]string{"all", "older", "some"}).Draw(t, "seen")
 		for _, id := range w.leafIDs() {
 			w.leaves[id].versions = drawVersions(t)
@@ -80,12 +80,12 @@
 				w.observeID(id, []uint64{rapid.Uint64Range(1, w.leaves[id].versions[0]).Draw(t, "older")})
 			}
 		}
-		w.begin(w.config(&tokens{retries: plenty}))
-		w.runHonestly()
+		w.begin(w.config(&fixedBudget{retries: unlimited}))
+		w.runToAnswer()
 		if seen == "all" && w.answer.VersionMoves > 0 {
 			t.Fatalf("%d moves, and all was known", w.answer.VersionMoves)
 		}
-		for v := uint64(1); v <= 4 && w.answer.VersionMoves < mostMoves; v++ {
+		for v := uint64(1); v <= 4 && w.answer.VersionMoves < maxVersionMoves; v++ {
 			if share := w.tracker.Share(serviceName, v); w.answer.Share < share-1e-9 {
 				t.Fatalf("share %v at version %d after %d moves; version %d could give %v", w.answer.Share, w.answer.Version, w.answer.VersionMoves, v, share)
 			}
@@ -98,19 +98,19 @@
 // within the range asked; wider ones may leave a rest that nobody gives alone.
 func TestRepartitionEndsComplete(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t, idempotent, grid("a", rapid.IntRange(1, 4).Draw(t, "shards"), 2))
-		w.begin(w.config(&tokens{retries: plenty}))
+		w := newWorld(t, idempotent, equalShards("a", rapid.IntRange(1, 4).Draw(t, "shards"), 2))
+		w.begin(w.config(&fixedBudget{retries: unlimited}))
 		splits := 0
 		for w.answer == nil {
 			switch what := rapid.IntRange(0, 5).Draw(t, "what"); {
 			case what == 0 && splits < 2:
 				splits++
-				w.split(t)
-				w.tell()
+				w.splitShard(t)
+				w.updateView()
 			case what == 1:
-				w.merge(t)
+				w.holdNeighbourShard(t)
 			default:
-				w.advanceHonestly(t)
+				w.advanceLiveAttempt(t)
 			}
 		}
 		if w.answer.Outcome != query.Complete {
@@ -119,15 +119,15 @@
 	})
 }
 
-// tell gives the query the newest view.
-func (w *world) tell() {
+// updateView gives the query the newest view.
+func (w *world) updateView() {
 	w.view = buildView(w.view.Generation+1, w.doc)
 	w.tracker.SetView(w.view)
 	w.handle(query.ViewChanged{View: w.view})
 }
 
-// advanceHonestly moves a random live attempt on.
-func (w *world) advanceHonestly(t *rapid.T) {
+// advanceLiveAttempt moves a random live attempt on.
+func (w *world) advanceLiveAttempt(t *rapid.T) {
 	var live []query.AttemptID
 	for i, a := range w.attempts {
 		if a.live() {
@@ -137,50 +137,50 @@
 	id := rapid.SampledFrom(live).Draw(t, "attempt")
 	a := w.attempts[id-1]
 	if !a.sent {
-		w.send(id, rapid.SampledFrom(w.allowed(w.remapped(a.offer))).Draw(t, "leaf"))
+		w.send(id, rapid.SampledFrom(w.allowedLeaves(w.remapOffer(a.offer))).Draw(t, "leaf"))
 		return
 	}
-	w.honestAnswer(id, w.sentTo[id], false)
+	w.answerTruthfully(id, w.sentTo[id], false)
 }
 
 func TestVersionMovesAsAWhole(t *testing.T) {
-	w := newWorld(t, idempotent, grid("a", 4, 1))
+	w := newWorld(t, idempotent, equalShards("a", 4, 1))
 	for _, id := range w.leafIDs() {
 		w.observeID(id, []uint64{1})
 	}
-	w.begin(w.config(&tokens{}))
+	w.begin(w.config(&fixedBudget{}))
 	w.sendAll()
-	w.honestAnswer(1, "a0-0", false)
+	w.answerTruthfully(1, "a0-0", false)
 	for _, id := range w.leafIDs() {
 		w.leaves[id].versions = []uint64{2}
 		w.observeID(id, []uint64{2})
 	}
-	w.runHonestly()
-	w.want(query.Complete, "")
+	w.runToAnswer()
+	w.wantOutcome(query.Complete, "")
 	if w.answer.Version != 2 || w.answer.VersionMoves != 1 || w.answer.Sent != 8 {
 		t.Fatalf("version %d, %d moves, %d sent", w.answer.Version, w.answer.VersionMoves, w.answer.Sent)
 	}
 }
 
 func TestBestVersionAnswersAtTheDeadline(t *testing.T) {
-	w := newWorld(t, idempotent, grid("a", 4, 1))
+	w := newWorld(t, idempotent, equalShards("a", 4, 1))
 	for _, id := range w.leafIDs() {
 		w.observeID(id, []uint64{1})
 	}
-	w.begin(w.config(&tokens{}))
+	w.begin(w.config(&fixedBudget{}))
 	w.sendAll()
-	w.honestAnswer(1, "a0-0", false)
-	w.honestAnswer(2, "a1-0", false)
+	w.answerTruthfully(1, "a0-0", false)
+	w.answerTruthfully(2, "a1-0", false)
 	for _, id := range w.leafIDs() {
 		w.leaves[id].versions = []uint64{2}
 		w.observeID(id, []uint64{2})
 	}
-	w.honestAnswer(3, "a2-0", false)
+	w.answerTruthfully(3, "a2-0", false)
 	w.sendAll()
-	w.honestAnswer(5, "a0-0", false)
-	w.now = w.due()
+	w.answerTruthfully(5, "a0-0", false)
+	w.now = w.deadlineAt()
 	w.handle(query.Tick{})
-	w.want(query.Partial, query.MissingDeadline)
+	w.wantOutcome(query.Partial, query.MissingDeadline)
 	if w.answer.Version != 1 || w.answer.Share != 0.5 || w.answer.Missing[0].Reason != query.MissingVersionMoved {
 		t.Fatalf("version %d with share %v, missing %v", w.answer.Version, w.answer.Share, w.answer.Missing)
 	}
@@ -189,42 +189,42 @@
 // TestColdStartAsksAgainAtOneVersion knows no version at the start, and its
 // leaves name different newest ones.
 func TestColdStartAsksAgainAtOneVersion(t *testing.T) {
-	w := newWorld(t, idempotent, grid("a", 2, 1))
+	w := newWorld(t, idempotent, equalShards("a", 2, 1))
 	w.leaves["a0-0"].versions = []uint64{1}
 	w.leaves["a1-0"].versions = []uint64{1, 2}
-	w.begin(w.config(&tokens{}))
-	w.runHonestly()
-	w.want(query.Complete, "")
+	w.begin(w.config(&fixedBudget{}))
+	w.runToAnswer()
+	w.wantOutcome(query.Complete, "")
 	if w.answer.Version != 1 || w.answer.Sent != 3 {
 		t.Fatalf("version %d after %d sent", w.answer.Version, w.answer.Sent)
 	}
 }
 
 func TestHedgeWinsAndTheLoserIsWithdrawn(t *testing.T) {
-	w := newWorld(t, idempotent, grid("a", 1, 2))
-	w.hedgeCap = 1
-	w.begin(w.config(&tokens{hedges: 1}))
+	w := newWorld(t, idempotent, equalShards("a", 1, 2))
+	w.maxHedges = 1
+	w.begin(w.config(&fixedBudget{hedges: 1}))
 	w.sendAll()
-	if !w.wake.Equal(epoch.Add(20 * time.Millisecond)) {
-		t.Fatalf("wakes at %v", w.wake.Sub(epoch))
+	if !w.wakeAt.Equal(epoch.Add(20 * time.Millisecond)) {
+		t.Fatalf("wakes at %v", w.wakeAt.Sub(epoch))
 	}
-	w.now = w.wake
+	w.now = w.wakeAt
 	w.handle(query.Tick{})
 	if len(w.attempts) != 2 || !w.attempts[1].offer.Hedge || !slices.Equal(w.attempts[1].offer.Avoid, []int{w.attempts[0].leaf}) {
 		t.Fatalf("no hedge elsewhere: %+v", w.attempts)
 	}
 	w.sendAll()
-	w.honestAnswer(2, w.sentTo[2], false)
-	w.want(query.Complete, "")
-	if !w.attempts[0].taken || w.answer.Hedges != 1 {
-		t.Fatalf("loser withdrawn %v, hedges %d", w.attempts[0].taken, w.answer.Hedges)
+	w.answerTruthfully(2, w.sentTo[2], false)
+	w.wantOutcome(query.Complete, "")
+	if !w.attempts[0].withdrawn || w.answer.Hedges != 1 {
+		t.Fatalf("loser withdrawn %v, hedges %d", w.attempts[0].withdrawn, w.answer.Hedges)
 	}
 }
 
 func TestNonIdempotentIsNeverHedged(t *testing.T) {
-	w := newWorld(t, document.Service{}, grid("a", 1, 2))
-	w.hedgeCap = 1
-	w.begin(w.config(&tokens{hedges: 1}))
+	w := newWorld(t, document.Service{}, equalShards("a", 1, 2))
+	w.maxHedges = 1
+	w.begin(w.config(&fixedBudget{hedges: 1}))
 	w.sendAll()
 	w.now = w.now.Add(deadline / 2)
 	w.handle(query.Tick{})
@@ -233,41 +233,41 @@
 	}
 	w.attempts[0].ended = true
 	w.handle(query.Broken{Attempt: 1, Leaf: w.attempts[0].leaf})
-	w.want(query.Unknown, query.MissingBroken)
+	w.wantOutcome(query.Unknown, query.MissingBroken)
 }
 
-// TestNonIdempotentGoesOnAfterProof tries the next leaf after a decline.
-func TestNonIdempotentGoesOnAfterProof(t *testing.T) {
-	w := newWorld(t, document.Service{}, grid("a", 3, 2))
-	w.begin(w.config(&tokens{}))
+// TestNonIdempotentIsRetriedAfterDecline tries the next leaf after a decline.
+func TestNonIdempotentIsRetriedAfterDecline(t *testing.T) {
+	w := newWorld(t, document.Service{}, equalShards("a", 3, 2))
+	w.begin(w.config(&fixedBudget{}))
 	w.sendAll()
 	w.decline(1, query.Declined{Reason: query.ReasonDraining})
-	w.runHonestly()
-	w.want(query.Complete, "")
+	w.runToAnswer()
+	w.wantOutcome(query.Complete, "")
 	if len(w.attempts) != 2 || w.attempts[0].leaf == w.attempts[1].leaf {
 		t.Fatalf("attempts %+v", w.attempts)
 	}
 }
 
-// TestHopelessIsRefusedAtOnce has one shard's queue refuse while the others
+// TestUnreachableCoverageIsRefusedAtOnce has one shard's queue refuse while the others
 // wait: the least coverage is out of reach and nothing has run.
-func TestHopelessIsRefusedAtOnce(t *testing.T) {
-	w := newWorld(t, document.Service{Idempotent: true, LeastCoverage: 1}, grid("a", 4, 2))
-	w.begin(w.config(&tokens{}))
+func TestUnreachableCoverageIsRefusedAtOnce(t *testing.T) {
+	w := newWorld(t, document.Service{Idempotent: true, LeastCoverage: 1}, equalShards("a", 4, 2))
+	w.begin(w.config(&fixedBudget{}))
 	w.attempts[2].ended = true
 	w.handle(query.NotSent{Attempt: 3, Reason: query.ReasonOverloaded, RetryAfter: 70 * time.Millisecond})
-	w.want(query.NotRun, string(query.ReasonOverloaded))
+	w.wantOutcome(query.NotRun, string(query.ReasonOverloaded))
 	if w.answer.RetryAfter != 70*time.Millisecond {
 		t.Fatalf("retry after %v", w.answer.RetryAfter)
 	}
 }
 
 func TestSettleDoesNotWaitForTheRest(t *testing.T) {
-	w := newWorld(t, document.Service{Idempotent: true, LeastCoverage: 0.75, Settle: settleWait}, grid("a", 4, 1))
-	w.begin(w.config(&tokens{}))
+	w := newWorld(t, document.Service{Idempotent: true, LeastCoverage: 0.75, Settle: settleWait}, equalShards("a", 4, 1))
+	w.begin(w.config(&fixedBudget{}))
 	w.sendAll()
 	for id := query.AttemptID(1); id <= 3; id++ {
-		w.honestAnswer(id, w.sentTo[id], false)
+		w.answerTruthfully(id, w.sentTo[id], false)
 	}
 	w.now = w.now.Add(settleWait - time.Nanosecond)
 	w.handle(query.Tick{})
@@ -276,24 +276,24 @@
 	}
 	w.now = w.now.Add(time.Nanosecond)
 	w.handle(query.Tick{})
-	w.want(query.Partial, query.MissingSettled)
+	w.wantOutcome(query.Partial, query.MissingSettled)
 }
 
-func TestGapOfTheMapIsMissing(t *testing.T) {
-	shards := grid("a", 4, 1)
+func TestKeysWithoutShardAreMissing(t *testing.T) {
+	shards := equalShards("a", 4, 1)
 	w := newWorld(t, idempotent, slices.Delete(shards, 1, 2))
-	w.begin(w.config(&tokens{}))
-	w.runHonestly()
+	w.begin(w.config(&fixedBudget{}))
+	w.runToAnswer()
 	want := query.Missing{Part: query.Part{Range: keyrange.Range{From: 16, To: 32}}, Reason: query.MissingNoShard}
 	if w.answer.Outcome != query.Partial || !slices.Equal(w.answer.Missing, []query.Missing{want}) {
 		t.Fatalf("%s, missing %v", w.answer.Outcome, w.answer.Missing)
 	}
 }
 
-// TestMovesWhenTheOnlyHolderIsUnreachable has the last leaf that serves the
+// TestVersionMovesWhenItsOnlyLeafIsUnreachable has the last leaf that serves the
 // pinned version refuse connections; another version covers everything.
-func TestMovesWhenTheOnlyHolderIsUnreachable(t *testing.T) {
-	w := newWorld(t, idempotent, grid("a", 3, 2))
+func TestVersionMovesWhenItsOnlyLeafIsUnreachable(t *testing.T) {
+	w := newWorld(t, idempotent, equalShards("a", 3, 2))
 	for _, id := range w.leafIDs() {
 		w.leaves[id].versions = []uint64{1, 2}
 	}
@@ -301,33 +301,33 @@
 	for _, id := range w.leafIDs() {
 		w.observeID(id, w.leaves[id].versions)
 	}
-	w.begin(w.config(&tokens{}))
+	w.begin(w.config(&fixedBudget{}))
 	if v := w.attempts[0].offer.Version; v != 2 {
 		t.Fatalf("pinned %d", v)
 	}
 	w.attempts[0].ended = true
 	w.handle(query.NotSent{Attempt: 1, Reason: query.ReasonDialFailed, Leaf: 0})
 	w.send(4, 1)
-	w.honestAnswer(4, "a0-1", false)
-	w.runHonestly()
-	w.want(query.Complete, "")
+	w.answerTruthfully(4, "a0-1", false)
+	w.runToAnswer()
+	w.wantOutcome(query.Complete, "")
 	if w.answer.Version != 1 {
 		t.Fatalf("version %d", w.answer.Version)
 	}
 }
 
-// TestRestIsAskedByTheNewMap splits a shard whose leaf gives half, and then
+// TestRestOfPartialReplyIsAskedElsewhere splits a shard whose leaf gives half, and then
 // lets the deadline pass: the reason is that, and not the map.
-func TestRestIsAskedByTheNewMap(t *testing.T) {
-	w := newWorld(t, idempotent, grid("a", 2, 2))
-	w.begin(w.config(&tokens{}))
+func TestRestOfPartialReplyIsAskedElsewhere(t *testing.T) {
+	w := newWorld(t, idempotent, equalShards("a", 2, 2))
+	w.begin(w.config(&fixedBudget{}))
 	w.send(1, 0)
 	w.reply(1, query.Reply{Version: 1, Ranges: []keyrange.Range{{From: 0, To: 16}}})
 	a := w.attempts[len(w.attempts)-1]
 	if a.offer.Part.Range != (keyrange.Range{From: 16, To: 32}) || !slices.Equal(a.offer.Avoid, []int{0}) {
 		t.Fatalf("rest asked as %+v", a.offer)
 	}
-	w.now = w.due()
+	w.now = w.deadlineAt()
 	w.handle(query.Tick{})
 	want := query.Missing{Part: query.Part{Range: keyrange.Range{From: 16, To: 64}}, Reason: query.MissingDeadline}
 	if !slices.Equal(w.answer.Missing, []query.Missing{want}) {
@@ -335,11 +335,11 @@
 	}
 }
 
-// TestWrongRangeIsCutByWhatTheLeafHolds asks the leaf again for what it holds,
+// TestWrongRangeIsSplitByHeldRanges asks the leaf again for what it holds,
 // and others for the rest; nothing of it is given up.
-func TestWrongRangeIsCutByWhatTheLeafHolds(t *testing.T) {
-	w := newWorld(t, document.Service{Idempotent: true, LeastCoverage: 1}, grid("a", 2, 2))
-	w.begin(w.config(&tokens{}))
+func TestWrongRangeIsSplitByHeldRanges(t *testing.T) {
+	w := newWorld(t, document.Service{Idempotent: true, LeastCoverage: 1}, equalShards("a", 2, 2))
+	w.begin(w.config(&fixedBudget{}))
 	w.send(1, 0)
 	w.decline(1, query.Declined{Reason: query.ReasonWrongRange, Ranges: []keyrange.Range{{From: 0, To: 16}}})
 	if w.answer != nil || len(w.attempts) != 4 {
--- a/kernel/query/check_test.go
+++ b/kernel/query/check_test.go
@@ -11,16 +11,16 @@
 
 // universe is the range that counts as the whole of an upstream.
 func (w *world) universe(upstream int) keyrange.Range {
-	if w.idem {
+	if w.idempotent {
 		return keyrange.Range{To: keySpace}
 	}
-	return w.start.Upstreams[upstream].Shards[0].Range
+	return w.startView.Upstreams[upstream].Shards[0].Range
 }
 
 // upstreams lists the upstreams that count.
 func (w *world) upstreams() []int {
-	all := w.start.Services[serviceName].Upstreams
-	if w.idem {
+	all := w.startView.Services[serviceName].Upstreams
+	if w.idempotent {
 		return all
 	}
 	return all[:1]
@@ -62,17 +62,17 @@
 		}
 		w.checkResult(r)
 		for _, x := range append([]keyrange.Range{r.Part.Range}, r.MoreRanges...) {
-			mark(w.t, &got, x, "results")
+			markKeys(w.t, &got, x, "results")
 		}
 	}
 	for _, p := range w.answer.Covered {
 		if p.Upstream == u {
-			mark(w.t, &covered, p.Range, "covered")
+			markKeys(w.t, &covered, p.Range, "covered")
 		}
 	}
 	for _, m := range w.answer.Missing {
 		if m.Part.Upstream == u {
-			mark(w.t, &missing, m.Part.Range, "missing")
+			markKeys(w.t, &missing, m.Part.Range, "missing")
 			if m.Reason == "" {
 				w.t.Fatalf("%v is missing without a reason", m.Part)
 			}
@@ -91,8 +91,8 @@
 	return float64(n) / float64(all.Size())
 }
 
-// mark sets the keys of a range, each once.
-func mark(t fatalf, bits *[keySpace]bool, r keyrange.Range, what string) {
+// markKeys sets the keys of a range, each once.
+func markKeys(t failer, bits *[keySpace]bool, r keyrange.Range, what string) {
 	t.Helper()
 	for k := r.From; k < r.To; k++ {
 		if bits[k] {
@@ -106,9 +106,9 @@
 // the answer's version and with its own ranges.
 func (w *world) checkResult(r query.Result) {
 	w.t.Helper()
-	reply, ok := w.honest[string(r.Body)]
+	reply, ok := w.acceptable[string(r.Body)]
 	if key, group := r.Attachment.(string); group {
-		reply, ok = w.honest[key]
+		reply, ok = w.acceptable[key]
 	}
 	if !ok {
 		w.t.Fatalf("result %s %v was late, repeated or crossed", r.Body, r.Attachment)
@@ -126,7 +126,7 @@
 func (w *world) expectedOutcome(share float64) query.Outcome {
 	clean := true
 	for _, a := range w.attempts {
-		clean = clean && a.clean
+		clean = clean && a.provedNotRun
 	}
 	switch {
 	case share == 1:
@@ -135,7 +135,7 @@
 		return query.Partial
 	case clean:
 		return query.NotRun
-	case !w.idem:
+	case !w.idempotent:
 		return query.Unknown
 	default:
 		return query.Failed
@@ -147,9 +147,9 @@
 	w.t.Helper()
 	sent, hedges, retries := 0, 0, 0
 	for _, a := range w.attempts {
-		sent += a.told.Sent
-		hedges += a.told.Hedges
-		retries += a.told.Retries
+		sent += a.reported.Sent
+		hedges += a.reported.Hedges
+		retries += a.reported.Retries
 		if !a.sent || a.group != nil {
 			continue
 		}
@@ -167,5 +167,5 @@
 	}
 }
 
-// due is when the query must be answered.
-func (w *world) due() time.Time { return epoch.Add(deadline) }
+// deadlineAt is when the query must be answered.
+func (w *world) deadlineAt() time.Time { return epoch.Add(deadline) }
--- a/kernel/query/gate_test.go
+++ b/kernel/query/gate_test.go
@@ -8,10 +8,10 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/query"
 )
 
-// crashEverywhere runs a request that breaks each leaf, and returns the leaves.
-func crashEverywhere(t *testing.T, canary, suspect bool, seed uint64) []int {
-	w := newWorld(t, idempotent, grid("a", 8, 2))
-	cfg := w.config(&tokens{hedges: plenty})
+// runPoisonRequest runs a request that breaks each leaf, and returns the leaves.
+func runPoisonRequest(t *testing.T, canary, suspect bool, seed uint64) []int {
+	w := newWorld(t, idempotent, equalShards("a", 8, 2))
+	cfg := w.config(&fixedBudget{hedges: unlimited})
 	cfg.Canary, cfg.Suspect, cfg.Seed = canary, suspect, seed
 	w.begin(cfg)
 	var broken []int
@@ -25,7 +25,7 @@
 		broken = append(broken, a.leaf)
 		w.handle(query.Broken{Attempt: a.offer.Attempt, Leaf: a.leaf, Crash: true})
 	}
-	w.want(query.Failed, query.MissingCrashed)
+	w.wantOutcome(query.Failed, query.MissingCrashed)
 	return broken
 }
 
@@ -33,24 +33,24 @@
 // suspect runs on the second of the two leaves of its canary, at any entry.
 func TestPoisonBreaksAtMostTwoLeaves(t *testing.T) {
 	for seed := range uint64(200) {
-		first := crashEverywhere(t, true, false, seed)
+		first := runPoisonRequest(t, true, false, seed)
 		if len(first) != 2 || first[0] == first[1] || first[0]/2 != int(seed%8) {
 			t.Fatalf("seed %d: a canary broke %v", seed, first)
 		}
-		if second := crashEverywhere(t, false, true, seed); !slices.Equal(second, first[1:]) {
+		if second := runPoisonRequest(t, false, true, seed); !slices.Equal(second, first[1:]) {
 			t.Fatalf("seed %d: a canary broke %v, a suspect %v", seed, first, second)
 		}
 	}
 }
 
-// TestSuspectsOfOneLeafPartWays counts how often two requests that were on one
+// TestSuspectsOfOneLeafGoToDifferentLeaves counts how often two requests that were on one
 // leaf when it broke go on to the same one of 16.
-func TestSuspectsOfOneLeafPartWays(t *testing.T) {
+func TestSuspectsOfOneLeafGoToDifferentLeaves(t *testing.T) {
 	const n = 400
 	same, pairs := 0, 0
 	next := make(map[int][]int) // by first leaf
 	for seed := range uint64(n) {
-		broken := crashEverywhere(t, true, false, seed*0x9e3779b97f4a7c15)
+		broken := runPoisonRequest(t, true, false, seed*0x9e3779b97f4a7c15)
 		for _, other := range next[broken[0]] {
 			pairs++
 			if other == broken[1] {
@@ -65,46 +65,46 @@
 	t.Logf("%d of %d pairs meet again", same, pairs)
 }
 
-// TestNeighbourIsAnsweredInFull breaks one leaf under a harmless request.
-func TestNeighbourIsAnsweredInFull(t *testing.T) {
-	w := newWorld(t, idempotent, grid("a", 4, 2))
-	w.begin(w.config(&tokens{}))
-	w.send(1, w.allowed(w.attempts[0].offer)[0])
+// TestHarmlessRequestOnCrashedLeafCompletes breaks one leaf under a harmless request.
+func TestHarmlessRequestOnCrashedLeafCompletes(t *testing.T) {
+	w := newWorld(t, idempotent, equalShards("a", 4, 2))
+	w.begin(w.config(&fixedBudget{}))
+	w.send(1, w.allowedLeaves(w.attempts[0].offer)[0])
 	w.attempts[0].ended = true
 	w.handle(query.Broken{Attempt: 1, Leaf: w.attempts[0].leaf, Crash: true})
 	w.waitForProbe()
-	if a := w.attempts[len(w.attempts)-1]; !a.offer.Solo || !w.attempts[1].taken {
-		t.Fatalf("alone %v, the others recalled %v", a.offer.Solo, w.attempts[1].taken)
+	if a := w.attempts[len(w.attempts)-1]; !a.offer.Solo || !w.attempts[1].withdrawn {
+		t.Fatalf("alone %v, the others recalled %v", a.offer.Solo, w.attempts[1].withdrawn)
 	}
-	w.runHonestly()
-	w.want(query.Complete, "")
+	w.runToAnswer()
+	w.wantOutcome(query.Complete, "")
 	if w.answer.Retries != 1 {
 		t.Fatalf("%d retries, and one leaf broke", w.answer.Retries)
 	}
 }
 
-// TestClearedFreesAQueuedCanary opens the whole fan-out on another's word.
-func TestClearedFreesAQueuedCanary(t *testing.T) {
-	w := newWorld(t, idempotent, grid("a", 4, 2))
-	cfg := w.config(&tokens{})
+// TestClearedOpensGateForQueuedCanary opens the whole fan-out on another's word.
+func TestClearedOpensGateForQueuedCanary(t *testing.T) {
+	w := newWorld(t, idempotent, equalShards("a", 4, 2))
+	cfg := w.config(&fixedBudget{})
 	cfg.Canary = true
 	w.begin(cfg)
 	w.gated = false
 	w.handle(query.Cleared{})
-	if len(w.attempts) != 5 || !w.attempts[0].taken || w.attempts[4].offer.Solo || w.attempts[4].offer.Retry {
+	if len(w.attempts) != 5 || !w.attempts[0].withdrawn || w.attempts[4].offer.Solo || w.attempts[4].offer.Retry {
 		t.Fatalf("attempts %+v", w.attempts)
 	}
-	w.runHonestly()
-	w.want(query.Complete, "")
+	w.runToAnswer()
+	w.wantOutcome(query.Complete, "")
 }
 
-func TestCondemnedIsAnsweredAtOnce(t *testing.T) {
-	w := newWorld(t, idempotent, grid("a", 4, 2))
-	cfg := w.config(&tokens{})
+func TestQuarantinedIsAnsweredAtOnce(t *testing.T) {
+	w := newWorld(t, idempotent, equalShards("a", 4, 2))
+	cfg := w.config(&fixedBudget{})
 	cfg.Suspect = true
 	w.begin(cfg)
 	w.handle(query.Quarantined{RetryAfter: time.Minute})
-	w.want(query.NotRun, string(query.ReasonQuarantined))
+	w.wantOutcome(query.NotRun, string(query.ReasonQuarantined))
 	if w.answer.RetryAfter != time.Minute {
 		t.Fatalf("retry after %v", w.answer.RetryAfter)
 	}
@@ -113,8 +113,8 @@
 // TestCanaryGoesElsewhereWhenItsLeafIsRefused has the queue refuse the one leaf
 // that the seed names.
 func TestCanaryGoesElsewhereWhenItsLeafIsRefused(t *testing.T) {
-	w := newWorld(t, idempotent, grid("a", 4, 3))
-	cfg := w.config(&tokens{})
+	w := newWorld(t, idempotent, equalShards("a", 4, 3))
+	cfg := w.config(&fixedBudget{})
 	cfg.Canary = true
 	w.begin(cfg)
 	if n := len(w.attempts[0].offer.Avoid); n != 2 {
@@ -126,6 +126,6 @@
 	if len(w.attempts) != 2 || a.Part != w.attempts[0].offer.Part || len(a.Avoid) != 0 || a.Retry {
 		t.Fatalf("offered %+v", a)
 	}
-	w.runHonestly()
-	w.want(query.Complete, "")
+	w.runToAnswer()
+	w.wantOutcome(query.Complete, "")
 }
--- a/kernel/query/group_test.go
+++ b/kernel/query/group_test.go
@@ -30,10 +30,10 @@
 	return out
 }
 
-// offeredGroup checks the offer of a group and records it as one attempt.
-func (w *world) offeredGroup(o query.OfferGroup) {
+// recordGroupOffer checks the offer of a group and records it as one attempt.
+func (w *world) recordGroupOffer(o query.OfferGroup) {
 	w.t.Helper()
-	if !w.idem {
+	if !w.idempotent {
 		w.t.Fatalf("a group is offered of a request that may run only once")
 	}
 	if w.gated && !w.replied {
@@ -41,8 +41,8 @@
 	}
 	g := &w.groups[o.Group]
 	part := query.Part{Upstream: g.Upstream, Range: g.Ranges[0]}
-	w.attempts = append(w.attempts, &tried{
-		offer: query.Offer{Attempt: o.Attempt, Part: part, Version: o.Version}, view: w.view, clean: true, group: g, leaf: view.NoLeaf,
+	w.attempts = append(w.attempts, &attemptRecord{
+		offer: query.Offer{Attempt: o.Attempt, Part: part, Version: o.Version}, view: w.view, provedNotRun: true, group: g, leaf: view.NoLeaf,
 	})
 	if int(o.Attempt) != len(w.attempts) {
 		w.t.Fatalf("group offered as attempt %d after %d", o.Attempt, len(w.attempts)-1)
@@ -58,7 +58,7 @@
 			w.handle(query.NotSent{Attempt: id, Reason: query.ReasonNotAccepted})
 			return
 		}
-		a.sent, a.clean = true, false
+		a.sent, a.provedNotRun = true, false
 		w.handle(query.Sent{Attempt: id, Leaf: view.NoLeaf})
 		return
 	}
@@ -67,7 +67,7 @@
 		a.ended = true
 		w.handle(query.Broken{Attempt: id, Leaf: view.NoLeaf, Cause: "lost"})
 	case 1:
-		w.gather(id, query.Gathered{Version: max(a.offer.Version, 1), Ranges: []keyrange.Range{{To: keySpace + 1}}}, false)
+		w.deliverGathered(id, query.Gathered{Version: max(a.offer.Version, 1), Ranges: []keyrange.Range{{To: keySpace + 1}}}, false)
 	default:
 		var covered []keyrange.Range
 		for _, r := range a.group.Ranges {
@@ -77,23 +77,23 @@
 		}
 		version := rapid.SampledFrom([]uint64{max(a.offer.Version, 1), 9}).Draw(t, "version")
 		going := rapid.IntRange(0, 3).Draw(t, "going") == 0
-		w.gather(id, query.Gathered{Version: version, Ranges: covered, Sent: 3, Hedges: 1, HasMore: going}, version != 9 || a.offer.Version == 0)
+		w.deliverGathered(id, query.Gathered{Version: version, Ranges: covered, Sent: 3, Hedges: 1, HasMore: going}, version != 9 || a.offer.Version == 0)
 	}
 }
 
-// gather delivers the reply to a group; true says that it is due to be accepted.
-func (w *world) gather(id query.AttemptID, g query.Gathered, due bool) {
+// deliverGathered delivers the reply to a group; true says that it is due to be accepted.
+func (w *world) deliverGathered(id query.AttemptID, g query.Gathered, due bool) {
 	w.t.Helper()
 	a := w.attempts[id-1]
-	w.serial++
-	key := fmt.Sprintf("group %d", w.serial)
+	w.replyCount++
+	key := fmt.Sprintf("group %d", w.replyCount)
 	g.Attempt, g.Attachment = id, key
 	if a.live() {
-		a.told.Sent += g.Sent
-		a.told.Hedges += g.Hedges
-		a.told.Retries += g.Retries
+		a.reported.Sent += g.Sent
+		a.reported.Hedges += g.Hedges
+		a.reported.Retries += g.Retries
 		if due && len(g.Ranges) > 0 {
-			w.honest[key] = query.Reply{Version: g.Version, Ranges: g.Ranges}
+			w.acceptable[key] = query.Reply{Version: g.Version, Ranges: g.Ranges}
 			w.replied = true
 		}
 	}
@@ -104,11 +104,11 @@
 	w.handle(g)
 }
 
-// groupWorld begins a query over eight shards of which another instance gathers three.
-func groupWorld(t *testing.T, attempts int) *world {
+// newGroupWorld begins a query over eight shards of which another instance gathers three.
+func newGroupWorld(t *testing.T, attempts int) *world {
 	service := document.Service{Idempotent: true, Objective: 100 * time.Millisecond, LeastCoverage: 0.5, Attempts: attempts}
-	w := newWorld(t, service, grid("a", 8, 3))
-	cfg := w.config(&tokens{retries: 100})
+	w := newWorld(t, service, equalShards("a", 8, 3))
+	cfg := w.config(&fixedBudget{retries: 100})
 	shards := w.view.Upstreams[0].Shards
 	cfg.Groups = []query.Group{{Ranges: []keyrange.Range{shards[1].Range, shards[2].Range, shards[6].Range}}}
 	w.begin(cfg)
@@ -118,30 +118,30 @@
 	return w
 }
 
-// answerRest lets the leaves answer all attempts but the group's.
-func (w *world) answerRest() {
+// answerOtherAttempts lets the leaves answer all attempts but the group's.
+func (w *world) answerOtherAttempts() {
 	for i := 1; i < len(w.attempts); i++ {
 		if a := w.attempts[i]; a.live() && !a.sent {
-			w.send(a.offer.Attempt, w.allowed(a.offer)[0])
-			w.honestAnswer(a.offer.Attempt, w.sentTo[a.offer.Attempt], false)
+			w.send(a.offer.Attempt, w.allowedLeaves(a.offer)[0])
+			w.answerTruthfully(a.offer.Attempt, w.sentTo[a.offer.Attempt], false)
 		}
 	}
 }
 
-// TestGroupIsOneReply takes a group's reply in, whole or in part, and only once.
-func TestGroupIsOneReply(t *testing.T) {
+// TestGroupReplyIsAcceptedOnce takes a group's reply in, whole or in part, and only once.
+func TestGroupReplyIsAcceptedOnce(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
 		covered int
 		share   float64
 		outcome query.Outcome
 	}{{"whole", 3, 1, query.Complete}, {"in part", 2, 7.0 / 8, query.Partial}, {"nothing", 0, 5.0 / 8, query.Partial}} {
-		w := groupWorld(t, 2)
+		w := newGroupWorld(t, 2)
 		w.handle(query.Sent{Attempt: 1, Leaf: view.NoLeaf})
-		w.attempts[0].sent, w.attempts[0].clean = true, false
-		w.gather(1, query.Gathered{Version: 1, Ranges: w.groups[0].Ranges[:tc.covered], Sent: 4}, true)
+		w.attempts[0].sent, w.attempts[0].provedNotRun = true, false
+		w.deliverGathered(1, query.Gathered{Version: 1, Ranges: w.groups[0].Ranges[:tc.covered], Sent: 4}, true)
 		w.handle(query.Gathered{Attempt: 1, Version: 1, Ranges: w.groups[0].Ranges, Sent: 4, Attachment: "again"})
-		w.answerRest()
+		w.answerOtherAttempts()
 		if w.answer == nil || w.answer.Share != tc.share || w.answer.Outcome != tc.outcome {
 			t.Fatalf("%s: answer %+v, want share %v", tc.name, w.answer, tc.share)
 		}
@@ -156,12 +156,12 @@
 	}
 }
 
-// TestGroupNotAcceptedIsAskedHere asks the leaves where nobody took the group over.
-func TestGroupNotAcceptedIsAskedHere(t *testing.T) {
-	w := groupWorld(t, 2)
+// TestUnacceptedGroupIsAskedLocally asks the leaves where nobody took the group over.
+func TestUnacceptedGroupIsAskedLocally(t *testing.T) {
+	w := newGroupWorld(t, 2)
 	w.attempts[0].ended = true
 	w.handle(query.NotSent{Attempt: 1, Reason: query.ReasonNotAccepted})
-	w.answerRest()
+	w.answerOtherAttempts()
 	if w.answer == nil || w.answer.Outcome != query.Complete || w.answer.Retries != 0 {
 		t.Fatalf("answer %+v, want a complete one without retries", w.answer)
 	}
@@ -173,27 +173,27 @@
 	for _, tc := range []struct {
 		attempts, asked int
 	}{{2, 0}, {0, 3}} {
-		w := groupWorld(t, tc.attempts)
+		w := newGroupWorld(t, tc.attempts)
 		before := len(w.attempts)
 		w.handle(query.Sent{Attempt: 1, Leaf: view.NoLeaf})
-		w.attempts[0].sent, w.attempts[0].clean, w.attempts[0].ended = true, false, true
+		w.attempts[0].sent, w.attempts[0].provedNotRun, w.attempts[0].ended = true, false, true
 		w.handle(query.Broken{Attempt: 1, Leaf: view.NoLeaf, Cause: "lost"})
 		if got := len(w.attempts) - before; got != tc.asked {
 			t.Errorf("%d attempts allowed: %d parts are asked again, want %d", tc.attempts, got, tc.asked)
 		}
-		w.answerRest()
+		w.answerOtherAttempts()
 		if w.answer == nil || w.answer.Share < 5.0/8 {
 			t.Errorf("%d attempts allowed: answer %+v", tc.attempts, w.answer)
 		}
 	}
 }
 
-// TestOnlySomeShards runs what an instance gathers for another: it is settled by
+// TestOnlyShardsGivesInterimAnswers runs what an instance gathers for another: it is settled by
 // the share that the other one can use, and asks nothing else.
-func TestOnlySomeShards(t *testing.T) {
+func TestOnlyShardsGivesInterimAnswers(t *testing.T) {
 	service := document.Service{Idempotent: true, Objective: 100 * time.Millisecond, LeastCoverage: 0.9}
-	w := newWorld(t, service, grid("a", 8, 2))
-	cfg := w.config(&tokens{})
+	w := newWorld(t, service, equalShards("a", 8, 2))
+	cfg := w.config(&fixedBudget{})
 	shards := w.view.Upstreams[0].Shards
 	cfg.OnlyShards = []query.Group{{Ranges: []keyrange.Range{shards[1].Range, shards[2].Range, shards[6].Range}}}
 	w.begin(cfg)
@@ -201,33 +201,33 @@
 		t.Fatalf("%d attempts, want 3", n)
 	}
 	for id := query.AttemptID(1); id <= 2; id++ {
-		w.send(id, w.allowed(w.attempts[id-1].offer)[0])
-		w.honestAnswer(id, w.sentTo[id], false)
+		w.send(id, w.allowedLeaves(w.attempts[id-1].offer)[0])
+		w.answerTruthfully(id, w.sentTo[id], false)
 	}
 	w.now = w.now.Add(80 * time.Millisecond)
 	w.handle(query.Tick{})
-	if w.answer != nil || len(w.interim) != 1 || len(w.interim[0].Results) != 2 {
-		t.Fatalf("answer %+v after the interim ones %+v, want one of these with two parts", w.answer, w.interim)
+	if w.answer != nil || len(w.interims) != 1 || len(w.interims[0].Results) != 2 {
+		t.Fatalf("answer %+v after the interim ones %+v, want one of these with two parts", w.answer, w.interims)
 	}
-	w.send(3, w.allowed(w.attempts[2].offer)[0])
-	w.honestAnswer(3, w.sentTo[3], false)
+	w.send(3, w.allowedLeaves(w.attempts[2].offer)[0])
+	w.answerTruthfully(3, w.sentTo[3], false)
 	if w.answer == nil || len(w.answer.Results) != 3 {
 		t.Fatalf("answer %+v, want all three parts", w.answer)
 	}
 }
 
-// TestGroupGoesOn takes more than one reply of a group, and is settled in between
+// TestGroupRepliesMoreThanOnce takes more than one reply of a group, and is settled in between
 // when that is enough.
-func TestGroupGoesOn(t *testing.T) {
-	w := groupWorld(t, 2)
+func TestGroupRepliesMoreThanOnce(t *testing.T) {
+	w := newGroupWorld(t, 2)
 	w.handle(query.Sent{Attempt: 1, Leaf: view.NoLeaf})
-	w.attempts[0].sent, w.attempts[0].clean = true, false
-	w.gather(1, query.Gathered{Version: 1, Ranges: w.groups[0].Ranges[:1], HasMore: true, Sent: 3}, true)
-	w.answerRest()
+	w.attempts[0].sent, w.attempts[0].provedNotRun = true, false
+	w.deliverGathered(1, query.Gathered{Version: 1, Ranges: w.groups[0].Ranges[:1], HasMore: true, Sent: 3}, true)
+	w.answerOtherAttempts()
 	if w.answer != nil {
 		t.Fatalf("answer %+v before the group's rest", w.answer)
 	}
-	w.gather(1, query.Gathered{Version: 1, Ranges: w.groups[0].Ranges[1:2], HasMore: true, Sent: 1}, true)
+	w.deliverGathered(1, query.Gathered{Version: 1, Ranges: w.groups[0].Ranges[1:2], HasMore: true, Sent: 1}, true)
 	w.now = w.now.Add(85 * time.Millisecond)
 	w.handle(query.Tick{})
 	if w.answer == nil || w.answer.Share != 7.0/8 || w.answer.Reason != query.MissingSettled || w.answer.Sent != 9 {
--- a/kernel/query/load_test.go
+++ b/kernel/query/load_test.go
@@ -8,15 +8,15 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/query"
 )
 
-// ratio is a Budget of a tenth of the first attempts.
-type ratio struct{ saved float64 }
+// ratioBudget is a Budget of a tenth of the first attempts.
+type ratioBudget struct{ tokens float64 }
 
-func (b *ratio) TakeHedge(time.Time) bool { return b.TakeRetry(time.Time{}) }
-func (b *ratio) TakeRetry(time.Time) bool {
-	if b.saved < 1 {
+func (b *ratioBudget) TakeHedge(time.Time) bool { return b.TakeRetry(time.Time{}) }
+func (b *ratioBudget) TakeRetry(time.Time) bool {
+	if b.tokens < 1 {
 		return false
 	}
-	b.saved--
+	b.tokens--
 	return true
 }
 
@@ -25,22 +25,22 @@
 func TestSheddingStaysWithinTheBudget(t *testing.T) {
 	const queries, shards = 100, 20
 	rng := rand.New(rand.NewPCG(1, 2))
-	budget := &ratio{}
+	budget := &ratioBudget{}
 	sent, retries := 0, 0
 	for range queries {
-		w := newWorld(t, idempotent, grid("a", shards, 2))
-		budget.saved += 0.1 * shards
+		w := newWorld(t, idempotent, equalShards("a", shards, 2))
+		budget.tokens += 0.1 * shards
 		w.begin(w.config(budget))
 		for i := 0; w.answer == nil; i++ {
 			a := w.attempts[i]
-			leaves := w.allowed(a.offer)
+			leaves := w.allowedLeaves(a.offer)
 			leaf := leaves[rng.IntN(len(leaves))]
 			w.send(a.offer.Attempt, leaf)
 			if leaf%2 == 0 {
 				w.decline(a.offer.Attempt, query.Declined{Reason: query.ReasonOverloaded})
 				continue
 			}
-			w.honestAnswer(a.offer.Attempt, w.sentTo[a.offer.Attempt], false)
+			w.answerTruthfully(a.offer.Attempt, w.sentTo[a.offer.Attempt], false)
 		}
 		sent += w.answer.Sent
 		retries += w.answer.Retries
--- a/kernel/query/machine_test.go
+++ b/kernel/query/machine_test.go
@@ -20,7 +20,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		w := drawWorld(t)
 		for w.answer == nil {
-			step(t, w)
+			takeRandomStep(t, w)
 		}
 	})
 }
@@ -34,7 +34,7 @@
 	}
 	var upstreams [][]shardSpec
 	for u := range rapid.IntRange(1, 2).Draw(t, "upstreams") {
-		upstreams = append(upstreams, grid(fmt.Sprintf("u%d-", u), rapid.IntRange(1, 4).Draw(t, "shards"), rapid.IntRange(1, 3).Draw(t, "replicas")))
+		upstreams = append(upstreams, equalShards(fmt.Sprintf("u%d-", u), rapid.IntRange(1, 4).Draw(t, "shards"), rapid.IntRange(1, 3).Draw(t, "replicas")))
 	}
 	w := newWorld(t, service, upstreams...)
 	for _, id := range w.leafIDs() {
@@ -43,8 +43,8 @@
 			w.observeID(id, drawVersions(t))
 		}
 	}
-	b := &tokens{hedges: rapid.IntRange(0, 3).Draw(t, "hedges"), retries: rapid.IntRange(0, 5).Draw(t, "retries")}
-	w.hedgeCap = b.hedges
+	b := &fixedBudget{hedges: rapid.IntRange(0, 3).Draw(t, "hedges"), retries: rapid.IntRange(0, 5).Draw(t, "retries")}
+	w.maxHedges = b.hedges
 	cfg := w.config(b)
 	cfg.Canary = rapid.Float64Range(0, 1).Draw(t, "canary") < 0.2
 	cfg.Suspect = rapid.Float64Range(0, 1).Draw(t, "suspect") < 0.2
@@ -70,8 +70,8 @@
 	return ids
 }
 
-// step makes one thing happen.
-func step(t *rapid.T, w *world) {
+// takeRandomStep makes one thing happen.
+func takeRandomStep(t *rapid.T, w *world) {
 	switch rapid.IntRange(0, 19).Draw(t, "what") {
 	case 0:
 		w.now = w.now.Add(time.Duration(rapid.IntRange(1, 40).Draw(t, "ms")) * time.Millisecond)
@@ -80,11 +80,11 @@
 		id := rapid.SampledFrom(w.leafIDs()).Draw(t, "leaf")
 		w.leaves[id].versions = drawVersions(t)
 	case 2:
-		w.repeat(t)
+		w.replayReply(t)
 	case 3:
-		w.split(t)
+		w.splitShard(t)
 	case 4, 5:
-		w.merge(t)
+		w.holdNeighbourShard(t)
 	case 6:
 		w.now = w.now.Add(20 * time.Millisecond)
 		w.handle(query.Tick{})
@@ -93,16 +93,16 @@
 			w.handle(query.Cancel{})
 		}
 	default:
-		w.advance(t)
+		w.advanceRandom(t)
 	}
 }
 
-// advance moves one attempt on.
-func (w *world) advance(t *rapid.T) {
+// advanceRandom moves one attempt on.
+func (w *world) advanceRandom(t *rapid.T) {
 	id := query.AttemptID(rapid.IntRange(1, len(w.attempts)).Draw(t, "attempt"))
 	a := w.attempts[id-1]
 	switch {
-	case a.ended || (a.taken && !a.sent):
+	case a.ended || (a.withdrawn && !a.sent):
 	case a.group != nil:
 		w.advanceGroup(t, id)
 	case !a.sent:
@@ -115,7 +115,7 @@
 // advanceQueued sends a queued attempt or refuses it.
 func (w *world) advanceQueued(t *rapid.T, id query.AttemptID) {
 	a := w.attempts[id-1]
-	leaves := w.allowed(w.remapped(a.offer))
+	leaves := w.allowedLeaves(w.remapOffer(a.offer))
 	what := rapid.IntRange(0, 9).Draw(t, "queued")
 	switch {
 	case what == 0 || len(leaves) == 0:
@@ -123,14 +123,14 @@
 		w.handle(query.NotSent{Attempt: id, Reason: rapid.SampledFrom([]query.DeclineReason{query.ReasonOverloaded, query.ReasonNoLeaf, query.ReasonDeadline}).Draw(t, "refused")})
 	case what == 1:
 		a.ended = true
-		w.handle(query.NotSent{Attempt: id, Reason: query.ReasonDialFailed, Leaf: w.named(a, leaves[0])})
+		w.handle(query.NotSent{Attempt: id, Reason: query.ReasonDialFailed, Leaf: w.leafInOfferView(a, leaves[0])})
 	default:
 		w.send(id, rapid.SampledFrom(leaves).Draw(t, "leaf"))
 	}
 }
 
-// remapped finds the shard of an offer in the current view, as dispatch does.
-func (w *world) remapped(o query.Offer) query.Offer {
+// remapOffer finds the shard of an offer in the current view, as dispatch does.
+func (w *world) remapOffer(o query.Offer) query.Offer {
 	for s, shard := range w.view.Upstreams[o.Part.Upstream].Shards {
 		if shard.Range.Overlaps(o.Part.Range) {
 			o.Shard = s
@@ -161,12 +161,12 @@
 		r := a.offer.Part.Range
 		w.reply(id, query.Reply{Version: max(a.offer.Version, 1), Ranges: []keyrange.Range{r, rapid.SampledFrom(bad).Draw(t, "bad")}})
 	default:
-		w.honestAnswer(id, leafID, what < 10)
+		w.answerTruthfully(id, leafID, what < 10)
 	}
 }
 
-// repeat delivers an old reply again, or under another attempt or leaf.
-func (w *world) repeat(t *rapid.T) {
+// replayReply delivers an old reply again, or under another attempt or leaf.
+func (w *world) replayReply(t *rapid.T) {
 	if len(w.replies) == 0 {
 		return
 	}
@@ -186,8 +186,8 @@
 	w.handle(r)
 }
 
-// split cuts a shard in two, shares its leaves out, and perhaps tells the query.
-func (w *world) split(t *rapid.T) {
+// splitShard cuts a shard in two, shares its leaves out, and perhaps tells the query.
+func (w *world) splitShard(t *rapid.T) {
 	u := rapid.IntRange(0, len(w.doc.Upstreams)-1).Draw(t, "upstream")
 	doc := *w.doc
 	doc.Upstreams = slices.Clone(doc.Upstreams)
@@ -205,12 +205,12 @@
 	}
 	up.Shards = slices.Concat(up.Shards[:i], []document.Shard{right, left}, up.Shards[i+1:])
 	for _, l := range slices.Concat(old.Leaves) {
-		w.leaves[l.ID].held = nil
+		w.leaves[l.ID].heldRanges = nil
 	}
 	for _, s := range up.Shards {
 		for _, l := range s.Leaves {
-			if h := w.leaves[l.ID]; !slices.Contains(h.held, s.Range) && slices.Contains(old.Leaves, l) {
-				h.held = append(h.held, s.Range)
+			if h := w.leaves[l.ID]; !slices.Contains(h.heldRanges, s.Range) && slices.Contains(old.Leaves, l) {
+				h.heldRanges = append(h.heldRanges, s.Range)
 			}
 		}
 	}
@@ -223,16 +223,16 @@
 	w.handle(query.ViewChanged{View: w.view})
 }
 
-// merge lets a leaf hold the neighbour of a shard as well.
-func (w *world) merge(t *rapid.T) {
+// holdNeighbourShard lets a leaf hold the neighbour of a shard as well.
+func (w *world) holdNeighbourShard(t *rapid.T) {
 	u := rapid.IntRange(0, len(w.doc.Upstreams)-1).Draw(t, "upstream")
 	shards := w.doc.Upstreams[u].Shards
 	i := rapid.IntRange(0, len(shards)-1).Draw(t, "shard")
 	next := shards[(i+1)%len(shards)].Range
 	for _, l := range shards[i].Leaves {
-		if h := w.leaves[l.ID]; !slices.Contains(h.held, next) {
-			set := keyrange.NewSet(append(h.held, next)...)
-			h.held = set.Ranges()
+		if h := w.leaves[l.ID]; !slices.Contains(h.heldRanges, next) {
+			set := keyrange.NewSet(append(h.heldRanges, next)...)
+			h.heldRanges = set.Ranges()
 		}
 	}
 }
--- a/kernel/query/world_test.go
+++ b/kernel/query/world_test.go
@@ -36,64 +36,64 @@
 
 var epoch = time.Date(2030, 1, 1, 9, 0, 0, 0, time.UTC)
 
-// tokens is a Budget with a fixed number of each.
-type tokens struct{ hedges, retries int }
+// fixedBudget is a Budget with a fixed number of each.
+type fixedBudget struct{ hedges, retries int }
 
-func (b *tokens) TakeHedge(time.Time) bool { b.hedges--; return b.hedges >= 0 }
-func (b *tokens) TakeRetry(time.Time) bool { b.retries--; return b.retries >= 0 }
+func (b *fixedBudget) TakeHedge(time.Time) bool { b.hedges--; return b.hedges >= 0 }
+func (b *fixedBudget) TakeRetry(time.Time) bool { b.retries--; return b.retries >= 0 }
 
-// fatalf is the part of testing.T and rapid.T that the world needs.
-type fatalf interface {
+// failer is the part of testing.T and rapid.T that the world needs.
+type failer interface {
 	Helper()
 	Fatalf(format string, args ...any)
 }
 
-// leafState is what a fake leaf serves.
-type leafState struct {
-	versions []uint64
-	held     []keyrange.Range
+// fakeLeaf is what a fake leaf serves.
+type fakeLeaf struct {
+	versions   []uint64
+	heldRanges []keyrange.Range
 }
 
-// tried is the test's own record of one attempt.
-type tried struct {
-	offer query.Offer
-	view  *view.View // of the offer
-	leaf  int        // as sent
-	sent  bool       // Sent was delivered
-	ended bool       // an end was delivered
-	taken bool       // withdrawn
-	clean bool       // proved not run
-	group *query.Group
-	told  query.Gathered // of a group: its reply
+// attemptRecord is the test's own record of one attempt.
+type attemptRecord struct {
+	offer        query.Offer
+	view         *view.View // of the offer
+	leaf         int        // as sent
+	sent         bool       // Sent was delivered
+	ended        bool       // an end was delivered
+	withdrawn    bool       // withdrawn
+	provedNotRun bool       // proved not run
+	group        *query.Group
+	reported     query.Gathered // of a group: its reply
 }
 
-func (a *tried) live() bool { return !a.ended && !a.taken }
+func (a *attemptRecord) live() bool { return !a.ended && !a.withdrawn }
 
 // world drives one query machine and keeps a reference model beside it.
 type world struct {
-	t        fatalf
-	doc      *document.Document
-	view     *view.View
-	start    *view.View
-	tracker  *snapshot.Tracker
-	machine  *query.Machine
-	now      time.Time
-	leaves   map[string]*leafState
-	attempts []*tried
-	honest   map[string]query.Reply // by body: replies that were due to be accepted
-	replies  []query.Reply          // all replies, to repeat or cross
-	answer   *query.Answer
-	serial   int
-	idem     bool
-	gated    bool // canary or suspect: one at a time until the first reply
-	replied  bool
-	crashed  bool // a leaf broke under the query
-	hedges   int
-	hedgeCap int
-	wake     time.Time
-	groups   []query.Group
-	interim  []query.Answer
-	sentTo   map[query.AttemptID]string // leaf IDs
+	t          failer
+	doc        *document.Document
+	view       *view.View
+	startView  *view.View
+	tracker    *snapshot.Tracker
+	machine    *query.Machine
+	now        time.Time
+	leaves     map[string]*fakeLeaf
+	attempts   []*attemptRecord
+	acceptable map[string]query.Reply // by body: replies that were due to be accepted
+	replies    []query.Reply          // all replies, to repeat or cross
+	answer     *query.Answer
+	replyCount int
+	idempotent bool
+	gated      bool // canary or suspect: one at a time until the first reply
+	replied    bool
+	crashed    bool // a leaf broke under the query
+	hedges     int
+	maxHedges  int
+	wakeAt     time.Time
+	groups     []query.Group
+	interims   []query.Answer
+	sentTo     map[query.AttemptID]string // leaf IDs
 }
 
 // shardSpec is one shard of a world: its range and the IDs of its leaves.
@@ -107,37 +107,37 @@
 }
 
 // newWorld builds a document with one upstream per list of shards.
-func newWorld(t fatalf, service document.Service, upstreams ...[]shardSpec) *world {
+func newWorld(t failer, service document.Service, upstreams ...[]shardSpec) *world {
 	doc := &document.Document{}
 	service.Name = serviceName
 	service.Deadline = deadline
 	for u, shards := range upstreams {
 		up := document.Upstream{Name: fmt.Sprintf("u%d", u), KeySpace: keySpace}
 		for _, s := range shards {
-			up.Shards = append(up.Shards, docShard(s))
+			up.Shards = append(up.Shards, documentShard(s))
 		}
 		doc.Upstreams = append(doc.Upstreams, up)
 		service.Upstreams = append(service.Upstreams, up.Name)
 	}
 	doc.Services = []document.Service{service}
-	w := &world{t: t, doc: doc, now: epoch, leaves: make(map[string]*leafState), honest: make(map[string]query.Reply), sentTo: make(map[query.AttemptID]string), idem: service.Idempotent}
+	w := &world{t: t, doc: doc, now: epoch, leaves: make(map[string]*fakeLeaf), acceptable: make(map[string]query.Reply), sentTo: make(map[query.AttemptID]string), idempotent: service.Idempotent}
 	w.view = buildView(1, doc)
-	w.start = w.view
+	w.startView = w.view
 	w.tracker = snapshot.New(w.view)
 	for _, shards := range upstreams {
 		for _, s := range shards {
 			for _, id := range s.leaves {
 				if w.leaves[id] == nil {
-					w.leaves[id] = &leafState{versions: []uint64{1}}
+					w.leaves[id] = &fakeLeaf{versions: []uint64{1}}
 				}
-				w.leaves[id].held = append(w.leaves[id].held, s.r)
+				w.leaves[id].heldRanges = append(w.leaves[id].heldRanges, s.r)
 			}
 		}
 	}
 	return w
 }
 
-func docShard(s shardSpec) document.Shard {
+func documentShard(s shardSpec) document.Shard {
 	out := document.Shard{Range: s.r}
 	for _, id := range s.leaves {
 		out.Leaves = append(out.Leaves, document.Leaf{ID: id})
@@ -145,8 +145,8 @@
 	return out
 }
 
-// grid cuts the key space into n equal shards of the given leaves each.
-func grid(prefix string, n, replicas int) []shardSpec {
+// equalShards cuts the key space into n equal shards of the given leaves each.
+func equalShards(prefix string, n, replicas int) []shardSpec {
 	var out []shardSpec
 	for i := range n {
 		s := shardSpec{r: keyrange.Range{From: uint64(i) * keySpace / uint64(n), To: uint64(i+1) * keySpace / uint64(n)}}
@@ -193,20 +193,20 @@
 	for i, act := range actions {
 		switch act := act.(type) {
 		case query.Offer:
-			w.offered(act)
+			w.recordOffer(act)
 		case query.OfferGroup:
-			w.offeredGroup(act)
+			w.recordGroupOffer(act)
 		case query.Withdraw:
 			a := w.attempts[act.Attempt-1]
 			if !a.live() {
 				w.t.Fatalf("withdrew attempt %d, which is not live", act.Attempt)
 			}
-			a.taken = true
-			a.clean = !a.sent
+			a.withdrawn = true
+			a.provedNotRun = !a.sent
 		case query.WakeAt:
-			w.wake = act.At
+			w.wakeAt = act.At
 		case query.Interim:
-			w.interim = append(w.interim, act.Answer)
+			w.interims = append(w.interims, act.Answer)
 		case query.Finish:
 			if i != len(actions)-1 {
 				w.t.Fatalf("Finish is not the last action")
@@ -217,15 +217,15 @@
 	w.checkRunning()
 }
 
-// offered checks an offer against what was offered before.
-func (w *world) offered(o query.Offer) {
+// recordOffer checks an offer against what was recordOffer before.
+func (w *world) recordOffer(o query.Offer) {
 	w.t.Helper()
 	if int(o.Attempt) != len(w.attempts)+1 {
 		w.t.Fatalf("attempt %d offered after %d", o.Attempt, len(w.attempts))
 	}
-	if !w.idem {
+	if !w.idempotent {
 		for i, a := range w.attempts {
-			if !a.clean {
+			if !a.provedNotRun {
 				w.t.Fatalf("attempt %d offered while attempt %d may have run", o.Attempt, i+1)
 			}
 		}
@@ -242,15 +242,15 @@
 	}
 	if o.Hedge {
 		w.hedges++
-		if !w.idem || w.hedges > w.hedgeCap {
-			w.t.Fatalf("hedge %d of at most %d, idempotent %v", w.hedges, w.hedgeCap, w.idem)
+		if !w.idempotent || w.hedges > w.maxHedges {
+			w.t.Fatalf("hedge %d of at most %d, idempotent %v", w.hedges, w.maxHedges, w.idempotent)
 		}
 	}
 	shard := w.view.Upstreams[o.Part.Upstream].Shards[o.Shard]
 	if !shard.Range.Overlaps(o.Part.Range) {
 		w.t.Fatalf("offer of %v to the shard of %v", o.Part.Range, shard.Range)
 	}
-	w.attempts = append(w.attempts, &tried{offer: o, view: w.view, clean: true})
+	w.attempts = append(w.attempts, &attemptRecord{offer: o, view: w.view, provedNotRun: true})
 }
 
 // checkRunning checks that a query which is not finished waits for something,
@@ -277,31 +277,31 @@
 		version = a.offer.Version
 	}
 	// After a break a probe may wait for its slot, and a wake-up is due then.
-	waits := w.crashed && w.wake.After(w.now) && w.wake.Before(w.due())
+	waits := w.crashed && w.wakeAt.After(w.now) && w.wakeAt.Before(w.deadlineAt())
 	if live == 0 && !waits {
 		w.t.Fatalf("nothing runs and the query is not answered")
 	}
-	if w.wake.After(w.due()) || w.wake.IsZero() {
-		w.t.Fatalf("the wake-up at %v is not by the deadline", w.wake)
+	if w.wakeAt.After(w.deadlineAt()) || w.wakeAt.IsZero() {
+		w.t.Fatalf("the wake-up at %v is not by the deadline", w.wakeAt)
 	}
 }
 
 // send delivers Sent.
 func (w *world) send(id query.AttemptID, leaf int) {
 	a := w.attempts[id-1]
-	a.sent, a.clean, a.leaf = true, false, w.named(a, leaf)
+	a.sent, a.provedNotRun, a.leaf = true, false, w.leafInOfferView(a, leaf)
 	w.sentTo[id] = w.view.Leaves[leaf].ID
 	w.handle(query.Sent{Attempt: id, Leaf: a.leaf})
 }
 
-// named is a leaf of the current view by the view of an attempt's offer.
-func (w *world) named(a *tried, leaf int) int {
+// leafInOfferView is a leaf of the current view by the view of an attempt's offer.
+func (w *world) leafInOfferView(a *attemptRecord, leaf int) int {
 	return a.view.Upstreams[a.offer.Part.Upstream].Leaf(w.view.Leaves[leaf].ID)
 }
 
-// allowed lists the leaves that dispatch might choose for an offer, whose shard
+// allowedLeaves lists the leaves that dispatch might choose for an offer, whose shard
 // is of the current view while what it avoids is of its own.
-func (w *world) allowed(o query.Offer) []int {
+func (w *world) allowedLeaves(o query.Offer) []int {
 	named := w.attempts[o.Attempt-1].view
 	var out []int
 	for _, l := range w.view.Upstreams[o.Part.Upstream].Shards[o.Shard].Leaves {
@@ -313,9 +313,9 @@
 	return out
 }
 
-// honestAnswer delivers what the leaf would truly say. A wide leaf replies with
+// answerTruthfully delivers what the leaf would truly say. A wide leaf replies with
 // all that it holds around the range asked.
-func (w *world) honestAnswer(id query.AttemptID, leafID string, wide bool) {
+func (w *world) answerTruthfully(id query.AttemptID, leafID string, wide bool) {
 	w.t.Helper()
 	a := w.attempts[id-1]
 	l := w.leaves[leafID]
@@ -326,7 +326,7 @@
 		return
 	}
 	var ranges []keyrange.Range
-	for _, h := range l.held {
+	for _, h := range l.heldRanges {
 		if !h.Overlaps(a.offer.Part.Range) {
 			continue
 		}
@@ -336,7 +336,7 @@
 		ranges = append(ranges, h)
 	}
 	if len(ranges) == 0 {
-		w.decline(id, query.Declined{Reason: query.ReasonWrongRange, Versions: versions, Ranges: l.held})
+		w.decline(id, query.Declined{Reason: query.ReasonWrongRange, Versions: versions, Ranges: l.heldRanges})
 		return
 	}
 	version := a.offer.Version
@@ -359,7 +359,7 @@
 	w.t.Helper()
 	a := w.attempts[id-1]
 	d.Attempt, d.Leaf = id, a.leaf
-	a.ended, a.clean = true, true
+	a.ended, a.provedNotRun = true, true
 	w.handle(d)
 }
 
@@ -367,20 +367,20 @@
 func (w *world) reply(id query.AttemptID, r query.Reply) {
 	w.t.Helper()
 	a := w.attempts[id-1]
-	w.serial++
-	r.Attempt, r.Leaf, r.Body = id, a.leaf, fmt.Appendf(nil, "%d", w.serial)
+	w.replyCount++
+	r.Attempt, r.Leaf, r.Body = id, a.leaf, fmt.Appendf(nil, "%d", w.replyCount)
 	w.replies = append(w.replies, r)
-	if a.live() && a.sent && truthful(a.offer, r) {
-		w.honest[string(r.Body)] = r
+	if a.live() && a.sent && isValidReply(a.offer, r) {
+		w.acceptable[string(r.Body)] = r
 	}
 	w.replied = w.replied || (a.live() && a.sent)
 	a.ended = true
 	w.handle(r)
 }
 
-// truthful reports whether a reply states the version asked, and disjoint
+// isValidReply reports whether a reply states the version asked, and disjoint
 // ranges of which one is of the part asked.
-func truthful(o query.Offer, r query.Reply) bool {
+func isValidReply(o query.Offer, r query.Reply) bool {
 	var total uint64
 	near := false
 	for _, x := range r.Ranges {
