--- a/kernel/query/bench_test.go
+++ b/kernel/query/bench_test.go
@@ -12,7 +12,7 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/view"
 )
 
-// benchView is one upstream of shards with two leaves each.
+// benchView returns a view of one upstream whose shards have two leaves each.
 func benchView(leaves int) *view.View {
 	shards := leaves / 2
 	up := document.Upstream{Name: "u", KeySpace: uint64(shards) * 16}
@@ -28,8 +28,8 @@
 	})
 }
 
-// BenchmarkQuery runs whole queries: each sub-request is offered, sent and
-// answered, a tenth of them after a decline. It reports the cost of one.
+// BenchmarkQuery runs whole queries: each sub-request is offered, sent and answered, a
+// tenth of them after a decline. It reports the time per sub-request.
 func BenchmarkQuery(b *testing.B) {
 	for _, leaves := range []int{10, 100, 1_000, 10_000} {
 		b.Run(fmt.Sprintf("leaves=%d", leaves), func(b *testing.B) {
@@ -49,7 +49,8 @@
 	}
 }
 
-// benchQuery answers all shards in a scattered order.
+// benchQuery runs one query, whose shards reply in a scattered order, and returns the
+// number of attempts sent.
 func benchQuery(b *testing.B, v *view.View, tracker *snapshot.Tracker) int {
 	m := query.New(query.Config{
 		View: v, Service: v.Services[serviceName], Start: epoch, Deadline: epoch.Add(deadline), Versions: tracker,
--- a/kernel/query/cases_test.go
+++ b/kernel/query/cases_test.go
@@ -14,12 +14,12 @@
 
 const (
 	unlimited       = 1 << 30
-	maxVersionMoves = 3 // the machine's bound, stated in docs/design/query.md
+	maxVersionMoves = 3 // the machine's limit, stated in docs/design/query.md
 )
 
 var idempotent = document.Service{Idempotent: true}
 
-// waitForProbe lets time pass to the wake-up when nothing runs.
+// waitForProbe advances the clock to the wake-up until an attempt is live.
 func (w *world) waitForProbe() {
 	for w.answer == nil && !slices.ContainsFunc(w.attempts, (*attemptRecord).live) {
 		w.now = w.wakeAt
@@ -38,7 +38,7 @@
 	}
 }
 
-// runToAnswer sends and answers until the query is done.
+// runToAnswer sends and truthfully answers all attempts until the query is answered.
 func (w *world) runToAnswer() {
 	for w.answer == nil {
 		w.sendAll()
@@ -62,10 +62,11 @@
 	}
 }
 
-// TestStaticVersionsReachBestCoverage gives leaves any versions that do not
-// change. The answer covers at least what any one version could give by all
-// that was seen up to the answer, unless all its moves were used up by what it
-// saw on the way; when each leaf was seen, that is the truth, at the first pin.
+// TestStaticVersionsReachBestCoverage gives the leaves random versions that do not
+// change. The answer must cover at least what any single version could, by the versions
+// seen until then, unless the query has used up its version moves. If the versions of
+// all leaves are known at the start, the first pinned version must be the best, without
+// a move.
 func TestStaticVersionsReachBestCoverage(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		shards := rapid.IntRange(1, 6).Draw(t, "shards")
@@ -83,7 +84,7 @@
 		w.begin(w.config(&fixedBudget{retries: unlimited}))
 		w.runToAnswer()
 		if seen == "all" && w.answer.VersionMoves > 0 {
-			t.Fatalf("%d moves, and all was known", w.answer.VersionMoves)
+			t.Fatalf("%d version moves although all versions were known", w.answer.VersionMoves)
 		}
 		for v := uint64(1); v <= 4 && w.answer.VersionMoves < maxVersionMoves; v++ {
 			if share := w.tracker.Share(serviceName, v); w.answer.Share < share-1e-9 {
@@ -93,9 +94,10 @@
 	})
 }
 
-// TestRepartitionEndsComplete splits and merges shards while a query runs and
-// the newest view is told: the answer is complete all the same. Leaves reply
-// within the range asked; wider ones may leave a rest that nobody gives alone.
+// TestRepartitionEndsComplete splits and merges shards while a query runs and learns of
+// each new view: the answer must be complete nevertheless. The leaves reply only with
+// keys of the range asked; with wider replies, keys could be left that no leaf returns
+// on their own.
 func TestRepartitionEndsComplete(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t, idempotent, equalShards("a", rapid.IntRange(1, 4).Draw(t, "shards"), 2))
@@ -119,14 +121,14 @@
 	})
 }
 
-// updateView gives the query the newest view.
+// updateView builds a view of the changed document and delivers it to the query.
 func (w *world) updateView() {
 	w.view = buildView(w.view.Generation+1, w.doc)
 	w.tracker.SetView(w.view)
 	w.handle(query.ViewChanged{View: w.view})
 }
 
-// advanceLiveAttempt moves a random live attempt on.
+// advanceLiveAttempt sends a random live attempt or, if it was sent, answers it.
 func (w *world) advanceLiveAttempt(t *rapid.T) {
 	var live []query.AttemptID
 	for i, a := range w.attempts {
@@ -186,8 +188,8 @@
 	}
 }
 
-// TestColdStartAsksAgainAtOneVersion knows no version at the start, and its
-// leaves name different newest ones.
+// TestColdStartAsksAgainAtOneVersion starts without a known version, and the newest
+// versions of the leaves differ: the replies must not mix versions.
 func TestColdStartAsksAgainAtOneVersion(t *testing.T) {
 	w := newWorld(t, idempotent, equalShards("a", 2, 1))
 	w.leaves["a0-0"].versions = []uint64{1}
@@ -236,7 +238,8 @@
 	w.wantOutcome(query.Unknown, query.MissingBroken)
 }
 
-// TestNonIdempotentIsRetriedAfterDecline tries the next leaf after a decline.
+// TestNonIdempotentIsRetriedAfterDecline checks that a decline, which proves that the
+// request did not run, lets a non-idempotent request go to the next leaf.
 func TestNonIdempotentIsRetriedAfterDecline(t *testing.T) {
 	w := newWorld(t, document.Service{}, equalShards("a", 3, 2))
 	w.begin(w.config(&fixedBudget{}))
@@ -249,8 +252,8 @@
 	}
 }
 
-// TestUnreachableCoverageIsRefusedAtOnce has one shard's queue refuse while the others
-// wait: the least coverage is out of reach and nothing has run.
+// TestUnreachableCoverageIsRefusedAtOnce refuses one shard's attempt while the others
+// are queued: the least coverage can't be reached and nothing has run.
 func TestUnreachableCoverageIsRefusedAtOnce(t *testing.T) {
 	w := newWorld(t, document.Service{Idempotent: true, LeastCoverage: 1}, equalShards("a", 4, 2))
 	w.begin(w.config(&fixedBudget{}))
@@ -290,8 +293,8 @@
 	}
 }
 
-// TestVersionMovesWhenItsOnlyLeafIsUnreachable has the last leaf that serves the
-// pinned version refuse connections; another version covers everything.
+// TestVersionMovesWhenItsOnlyLeafIsUnreachable lets the only leaf of a shard that serves
+// the pinned version refuse connections; another version covers all shards.
 func TestVersionMovesWhenItsOnlyLeafIsUnreachable(t *testing.T) {
 	w := newWorld(t, idempotent, equalShards("a", 3, 2))
 	for _, id := range w.leafIDs() {
@@ -316,8 +319,9 @@
 	}
 }
 
-// TestRestOfPartialReplyIsAskedElsewhere splits a shard whose leaf gives half, and then
-// lets the deadline pass: the reason is that, and not the map.
+// TestRestOfPartialReplyIsAskedElsewhere lets a leaf reply with half of its shard, so
+// that the rest is asked of the other leaf. The deadline passes then: the rest must be
+// missing for that reason, not as keys without a shard.
 func TestRestOfPartialReplyIsAskedElsewhere(t *testing.T) {
 	w := newWorld(t, idempotent, equalShards("a", 2, 2))
 	w.begin(w.config(&fixedBudget{}))
@@ -335,8 +339,9 @@
 	}
 }
 
-// TestWrongRangeIsSplitByHeldRanges asks the leaf again for what it holds,
-// and others for the rest; nothing of it is given up.
+// TestWrongRangeIsSplitByHeldRanges lets a leaf decline with the half of its shard that
+// it holds: that half may be asked of it again, the rest goes to other leaves, and
+// nothing is given up.
 func TestWrongRangeIsSplitByHeldRanges(t *testing.T) {
 	w := newWorld(t, document.Service{Idempotent: true, LeastCoverage: 1}, equalShards("a", 2, 2))
 	w.begin(w.config(&fixedBudget{}))
--- a/kernel/query/check_test.go
+++ b/kernel/query/check_test.go
@@ -9,7 +9,8 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/query"
 )
 
-// universe is the range that counts as the whole of an upstream.
+// universe returns the key range of an upstream that the query should cover: for a
+// non-idempotent request only that of the first shard.
 func (w *world) universe(upstream int) keyrange.Range {
 	if w.idempotent {
 		return keyrange.Range{To: keySpace}
@@ -17,7 +18,8 @@
 	return w.startView.Upstreams[upstream].Shards[0].Range
 }
 
-// upstreams lists the upstreams that count.
+// upstreams lists the upstreams that the query should cover: for a non-idempotent
+// request only the first.
 func (w *world) upstreams() []int {
 	all := w.startView.Services[serviceName].Upstreams
 	if w.idempotent {
@@ -26,7 +28,7 @@
 	return all[:1]
 }
 
-// checkAnswer compares the answer with the replies that the model delivered.
+// checkAnswer compares the answer with the reference model.
 func (w *world) checkAnswer() {
 	w.t.Helper()
 	a := w.answer
@@ -40,19 +42,19 @@
 		share += w.checkUpstream(u) / float64(len(w.upstreams()))
 	}
 	if math.Abs(share-a.Share) > 1e-9 {
-		w.t.Fatalf("share %v, and the results have %v", a.Share, share)
+		w.t.Fatalf("the answer states share %v, its results cover %v", a.Share, share)
 	}
 	if got := w.expectedOutcome(share); got != a.Outcome {
 		w.t.Fatalf("outcome %s, want %s; reason %s", a.Outcome, got, a.Reason)
 	}
 	if a.Outcome == query.NotRun && a.RetryAfter <= 0 {
-		w.t.Fatalf("not run, and no word when to come back")
+		w.t.Fatalf("outcome not run without RetryAfter")
 	}
 	w.checkCounts()
 }
 
-// checkUpstream checks results, covered and missing ranges by a bitmap, and
-// returns the share of the upstream.
+// checkUpstream checks the results, the covered and the missing ranges of an upstream
+// key by key, and returns the upstream's share.
 func (w *world) checkUpstream(u int) float64 {
 	w.t.Helper()
 	var got, covered, missing [keySpace]bool
@@ -91,7 +93,7 @@
 	return float64(n) / float64(all.Size())
 }
 
-// markKeys sets the keys of a range, each once.
+// markKeys sets the bits of a range's keys and fails if one is set already.
 func markKeys(t failer, bits *[keySpace]bool, r keyrange.Range, what string) {
 	t.Helper()
 	for k := r.From; k < r.To; k++ {
@@ -102,8 +104,8 @@
 	}
 }
 
-// checkResult checks that a result is a reply that was due to be accepted, at
-// the answer's version and with its own ranges.
+// checkResult checks that a result is an acceptable reply, with the version of the
+// answer and the ranges of the reply.
 func (w *world) checkResult(r query.Result) {
 	w.t.Helper()
 	reply, ok := w.acceptable[string(r.Body)]
@@ -111,10 +113,10 @@
 		reply, ok = w.acceptable[key]
 	}
 	if !ok {
-		w.t.Fatalf("result %s %v was late, repeated or crossed", r.Body, r.Attachment)
+		w.t.Fatalf("result %s %v is not of an acceptable reply", r.Body, r.Attachment)
 	}
 	if reply.Version != w.answer.Version {
-		w.t.Fatalf("a result of version %d in an answer of version %d", reply.Version, w.answer.Version)
+		w.t.Fatalf("a result of version %d is in an answer of version %d", reply.Version, w.answer.Version)
 	}
 	want := keyrange.NewSet(reply.Ranges...)
 	if !slices.Equal(want.Ranges(), append([]keyrange.Range{r.Part.Range}, r.MoreRanges...)) {
@@ -122,18 +124,18 @@
 	}
 }
 
-// expectedOutcome derives the outcome from the test's own records.
+// expectedOutcome derives the outcome from the reference model.
 func (w *world) expectedOutcome(share float64) query.Outcome {
-	clean := true
+	notRun := true
 	for _, a := range w.attempts {
-		clean = clean && a.provedNotRun
+		notRun = notRun && a.provedNotRun
 	}
 	switch {
 	case share == 1:
 		return query.Complete
 	case share > 0:
 		return query.Partial
-	case clean:
+	case notRun:
 		return query.NotRun
 	case !w.idempotent:
 		return query.Unknown
@@ -142,7 +144,7 @@
 	}
 }
 
-// checkCounts compares the counters with the test's own records.
+// checkCounts compares the counters of the answer with the reference model.
 func (w *world) checkCounts() {
 	w.t.Helper()
 	sent, hedges, retries := 0, 0, 0
@@ -167,5 +169,5 @@
 	}
 }
 
-// deadlineAt is when the query must be answered.
+// deadlineAt returns the deadline of the query.
 func (w *world) deadlineAt() time.Time { return epoch.Add(deadline) }
--- a/kernel/query/group_test.go
+++ b/kernel/query/group_test.go
@@ -13,7 +13,7 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/view"
 )
 
-// drawGroups draws the shards that another instance is to gather.
+// drawGroups draws the shards that other instances are to gather.
 func drawGroups(t *rapid.T, w *world) []query.Group {
 	var out []query.Group
 	for u := range w.view.Upstreams {
@@ -34,10 +34,10 @@
 func (w *world) recordGroupOffer(o query.OfferGroup) {
 	w.t.Helper()
 	if !w.idempotent {
-		w.t.Fatalf("a group is offered of a request that may run only once")
+		w.t.Fatalf("a group of a non-idempotent request is offered")
 	}
 	if w.gated && !w.replied {
-		w.t.Fatalf("a group is offered, and nothing has shown that the request is safe")
+		w.t.Fatalf("a group is offered, and the request is not known to be safe")
 	}
 	g := &w.groups[o.Group]
 	part := query.Part{Upstream: g.Upstream, Range: g.Ranges[0]}
@@ -49,7 +49,8 @@
 	}
 }
 
-// advanceGroup lets a group be accepted, refused, answered or lost.
+// advanceGroup delivers the next event of a group: accepted, not accepted, a reply or
+// the loss of the instance.
 func (w *world) advanceGroup(t *rapid.T, id query.AttemptID) {
 	a := w.attempts[id-1]
 	if !a.sent {
@@ -81,8 +82,8 @@
 	}
 }
 
-// deliverGathered delivers the reply to a group; true says that it is due to be accepted.
-func (w *world) deliverGathered(id query.AttemptID, g query.Gathered, due bool) {
+// deliverGathered delivers a reply to a group. valid says that the machine may accept it.
+func (w *world) deliverGathered(id query.AttemptID, g query.Gathered, valid bool) {
 	w.t.Helper()
 	a := w.attempts[id-1]
 	w.replyCount++
@@ -92,19 +93,20 @@
 		a.reported.Sent += g.Sent
 		a.reported.Hedges += g.Hedges
 		a.reported.Retries += g.Retries
-		if due && len(g.Ranges) > 0 {
+		if valid && len(g.Ranges) > 0 {
 			w.acceptable[key] = query.Reply{Version: g.Version, Ranges: g.Ranges}
 			w.replied = true
 		}
 	}
 	a.ended = !g.HasMore
-	if g.HasMore && due && len(g.Ranges) == len(a.group.Ranges) {
-		a.ended = true // all is there
+	if g.HasMore && valid && len(g.Ranges) == len(a.group.Ranges) {
+		a.ended = true // all parts are covered
 	}
 	w.handle(g)
 }
 
-// newGroupWorld begins a query over eight shards of which another instance gathers three.
+// newGroupWorld begins a query of eight shards, three of which are a group. attempts is
+// the route's limit.
 func newGroupWorld(t *testing.T, attempts int) *world {
 	service := document.Service{Idempotent: true, Objective: 100 * time.Millisecond, LeastCoverage: 0.5, Attempts: attempts}
 	w := newWorld(t, service, equalShards("a", 8, 3))
@@ -113,12 +115,12 @@
 	cfg.Groups = []query.Group{{Ranges: []keyrange.Range{shards[1].Range, shards[2].Range, shards[6].Range}}}
 	w.begin(cfg)
 	if n := len(w.attempts); n != 6 || w.attempts[0].group == nil {
-		t.Fatalf("%d attempts, want one of the group and five of the other shards", n)
+		t.Fatalf("%d attempts, want one for the group and five for the other shards", n)
 	}
 	return w
 }
 
-// answerOtherAttempts lets the leaves answer all attempts but the group's.
+// answerOtherAttempts sends and truthfully answers all queued attempts but the group's.
 func (w *world) answerOtherAttempts() {
 	for i := 1; i < len(w.attempts); i++ {
 		if a := w.attempts[i]; a.live() && !a.sent {
@@ -128,7 +130,8 @@
 	}
 }
 
-// TestGroupReplyIsAcceptedOnce takes a group's reply in, whole or in part, and only once.
+// TestGroupReplyIsAcceptedOnce checks that a group's reply is accepted, also one that
+// covers only some or none of its parts, and that a repeated reply is ignored.
 func TestGroupReplyIsAcceptedOnce(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
@@ -156,7 +159,8 @@
 	}
 }
 
-// TestUnacceptedGroupIsAskedLocally asks the leaves where nobody took the group over.
+// TestUnacceptedGroupIsAskedLocally checks that the query asks the leaves itself if no
+// instance accepts the group.
 func TestUnacceptedGroupIsAskedLocally(t *testing.T) {
 	w := newGroupWorld(t, 2)
 	w.attempts[0].ended = true
@@ -167,8 +171,9 @@
 	}
 }
 
-// TestLostGroupIsNotAskedAgain loses the instance that had taken a group over: it may
-// have made all the attempts that the route allows.
+// TestLostGroupIsNotAskedAgain loses the instance that gathers a group. The instance may
+// have made all the attempts that the route allows, so the parts are asked again only if
+// the route sets no limit.
 func TestLostGroupIsNotAskedAgain(t *testing.T) {
 	for _, tc := range []struct {
 		attempts, asked int
@@ -188,8 +193,9 @@
 	}
 }
 
-// TestOnlyShardsGivesInterimAnswers runs what an instance gathers for another: it is settled by
-// the share that the other one can use, and asks nothing else.
+// TestOnlyShardsGivesInterimAnswers runs a query with OnlyShards, as an instance does that
+// gathers them for another: it must ask no other shards, give an interim answer when one
+// is due, and go on until its shards are covered.
 func TestOnlyShardsGivesInterimAnswers(t *testing.T) {
 	service := document.Service{Idempotent: true, Objective: 100 * time.Millisecond, LeastCoverage: 0.9}
 	w := newWorld(t, service, equalShards("a", 8, 2))
@@ -207,7 +213,7 @@
 	w.now = w.now.Add(80 * time.Millisecond)
 	w.handle(query.Tick{})
 	if w.answer != nil || len(w.interims) != 1 || len(w.interims[0].Results) != 2 {
-		t.Fatalf("answer %+v after the interim ones %+v, want one of these with two parts", w.answer, w.interims)
+		t.Fatalf("answer %+v after the interim answers %+v, want one interim answer with two parts", w.answer, w.interims)
 	}
 	w.send(3, w.allowedLeaves(w.attempts[2].offer)[0])
 	w.answerTruthfully(3, w.sentTo[3], false)
@@ -216,8 +222,8 @@
 	}
 }
 
-// TestGroupRepliesMoreThanOnce takes more than one reply of a group, and is settled in between
-// when that is enough.
+// TestGroupRepliesMoreThanOnce checks that several replies of a group are accepted, and
+// that the query settles before the last one if the coverage suffices.
 func TestGroupRepliesMoreThanOnce(t *testing.T) {
 	w := newGroupWorld(t, 2)
 	w.handle(query.Sent{Attempt: 1, Leaf: view.NoLeaf})
--- a/kernel/query/load_test.go
+++ b/kernel/query/load_test.go
@@ -8,7 +8,8 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/query"
 )
 
-// ratioBudget is a Budget of a tenth of the first attempts.
+// ratioBudget is a Budget with a number of tokens; the test adds a tenth of a token per
+// first attempt.
 type ratioBudget struct{ tokens float64 }
 
 func (b *ratioBudget) TakeHedge(time.Time) bool { return b.TakeRetry(time.Time{}) }
@@ -20,8 +21,9 @@
 	return true
 }
 
-// TestSheddingStaysWithinTheBudget lets one of the two leaves of each shard
-// shed everything, and a dispatch layer that does not learn.
+// TestSheddingStaysWithinTheBudget lets one of the two leaves of each shard decline every
+// attempt, while dispatch keeps choosing leaves at random: the retries must stay within
+// the budget.
 func TestSheddingStaysWithinTheBudget(t *testing.T) {
 	const queries, shards = 100, 20
 	rng := rand.New(rand.NewPCG(1, 2))
--- a/kernel/query/machine_test.go
+++ b/kernel/query/machine_test.go
@@ -14,8 +14,8 @@
 )
 
 // TestRandomInterleavings drives the machine through random orders of replies,
-// declines, breaks, version changes, splits and repeated replies, and checks
-// each action and the answer by the reference model in world.
+// declines, broken connections, version changes, shard splits and repeated replies, and
+// checks each action and the answer against the reference model in world.
 func TestRandomInterleavings(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := drawWorld(t)
@@ -70,7 +70,7 @@
 	return ids
 }
 
-// takeRandomStep makes one thing happen.
+// takeRandomStep advances the clock, changes a leaf or a shard, or moves an attempt on.
 func takeRandomStep(t *rapid.T, w *world) {
 	switch rapid.IntRange(0, 19).Draw(t, "what") {
 	case 0:
@@ -97,7 +97,7 @@
 	}
 }
 
-// advanceRandom moves one attempt on.
+// advanceRandom delivers the next event of a random attempt, if it awaits one.
 func (w *world) advanceRandom(t *rapid.T) {
 	id := query.AttemptID(rapid.IntRange(1, len(w.attempts)).Draw(t, "attempt"))
 	a := w.attempts[id-1]
@@ -129,7 +129,7 @@
 	}
 }
 
-// remapOffer finds the shard of an offer in the current view, as dispatch does.
+// remapOffer sets the shard of an offer by the current view, as dispatch does.
 func (w *world) remapOffer(o query.Offer) query.Offer {
 	for s, shard := range w.view.Upstreams[o.Part.Upstream].Shards {
 		if shard.Range.Overlaps(o.Part.Range) {
@@ -140,7 +140,7 @@
 	return o
 }
 
-// advanceSent ends a sent attempt; a withdrawn one may still reply, late.
+// advanceSent ends a sent attempt. A withdrawn one may still reply, late.
 func (w *world) advanceSent(t *rapid.T, id query.AttemptID) {
 	a := w.attempts[id-1]
 	leafID := w.sentTo[id]
@@ -165,7 +165,7 @@
 	}
 }
 
-// replayReply delivers an old reply again, or under another attempt or leaf.
+// replayReply delivers an old reply again, perhaps for another attempt or leaf.
 func (w *world) replayReply(t *rapid.T) {
 	if len(w.replies) == 0 {
 		return
@@ -186,7 +186,8 @@
 	w.handle(r)
 }
 
-// splitShard cuts a shard in two, shares its leaves out, and perhaps tells the query.
+// splitShard cuts a shard in two, divides its leaves between the halves, and perhaps
+// delivers the new view to the query.
 func (w *world) splitShard(t *rapid.T) {
 	u := rapid.IntRange(0, len(w.doc.Upstreams)-1).Draw(t, "upstream")
 	doc := *w.doc
@@ -223,7 +224,7 @@
 	w.handle(query.ViewChanged{View: w.view})
 }
 
-// holdNeighbourShard lets a leaf hold the neighbour of a shard as well.
+// holdNeighbourShard makes the leaves of a shard hold the range of the next shard too.
 func (w *world) holdNeighbourShard(t *rapid.T) {
 	u := rapid.IntRange(0, len(w.doc.Upstreams)-1).Draw(t, "upstream")
 	shards := w.doc.Upstreams[u].Shards
--- a/kernel/query/world_test.go
+++ b/kernel/query/world_test.go
@@ -36,40 +36,41 @@
 
 var epoch = time.Date(2030, 1, 1, 9, 0, 0, 0, time.UTC)
 
-// fixedBudget is a Budget with a fixed number of each.
+// fixedBudget is a Budget with a fixed number of hedges and retries.
 type fixedBudget struct{ hedges, retries int }
 
 func (b *fixedBudget) TakeHedge(time.Time) bool { b.hedges--; return b.hedges >= 0 }
 func (b *fixedBudget) TakeRetry(time.Time) bool { b.retries--; return b.retries >= 0 }
 
-// failer is the part of testing.T and rapid.T that the world needs.
+// failer is the part of testing.T and rapid.T that world needs.
 type failer interface {
 	Helper()
 	Fatalf(format string, args ...any)
 }
 
-// fakeLeaf is what a fake leaf serves.
+// fakeLeaf holds the index versions and the key ranges that a fake leaf serves.
 type fakeLeaf struct {
 	versions   []uint64
 	heldRanges []keyrange.Range
 }
 
-// attemptRecord is the test's own record of one attempt.
+// attemptRecord is the reference model's record of one attempt.
 type attemptRecord struct {
 	offer        query.Offer
-	view         *view.View // of the offer
-	leaf         int        // as sent
-	sent         bool       // Sent was delivered
-	ended        bool       // an end was delivered
-	withdrawn    bool       // withdrawn
-	provedNotRun bool       // proved not run
-	group        *query.Group
-	reported     query.Gathered // of a group: its reply
+	view         *view.View     // the view at the offer
+	leaf         int            // the leaf of Sent, as an index in view
+	sent         bool           // Sent was delivered
+	ended        bool           // its last event was delivered
+	withdrawn    bool           // Withdraw was received
+	provedNotRun bool           // it is certain that no leaf ran it
+	group        *query.Group   // nil unless it is a group's attempt
+	reported     query.Gathered // the sums of the counters in the replies to a group
 }
 
 func (a *attemptRecord) live() bool { return !a.ended && !a.withdrawn }
 
-// world drives one query machine and keeps a reference model beside it.
+// world simulates the runtime, the leaves and the clock around one query machine, and
+// checks the machine against a reference model.
 type world struct {
 	t          failer
 	doc        *document.Document
@@ -80,20 +81,20 @@
 	now        time.Time
 	leaves     map[string]*fakeLeaf
 	attempts   []*attemptRecord
-	acceptable map[string]query.Reply // by body: replies that were due to be accepted
-	replies    []query.Reply          // all replies, to repeat or cross
+	acceptable map[string]query.Reply // by body or attachment: valid replies that the machine may accept
+	replies    []query.Reply          // all replies, for replayReply
 	answer     *query.Answer
 	replyCount int
 	idempotent bool
-	gated      bool // canary or suspect: one at a time until the first reply
+	gated      bool // canary or suspect: one attempt at a time until the first reply
 	replied    bool
-	crashed    bool // a leaf broke under the query
+	crashed    bool // a leaf crashed while it ran the query
 	hedges     int
 	maxHedges  int
 	wakeAt     time.Time
 	groups     []query.Group
 	interims   []query.Answer
-	sentTo     map[query.AttemptID]string // leaf IDs
+	sentTo     map[query.AttemptID]string // the ID of the leaf of each sent attempt
 }
 
 // shardSpec is one shard of a world: its range and the IDs of its leaves.
@@ -106,7 +107,8 @@
 	return view.Build(gen, "", doc, func(string) bool { return false }, func(*document.Upstream, string) int { return 4 })
 }
 
-// newWorld builds a document with one upstream per list of shards.
+// newWorld returns a world with one upstream per list of shards. All leaves hold their
+// shards' ranges at version 1.
 func newWorld(t failer, service document.Service, upstreams ...[]shardSpec) *world {
 	doc := &document.Document{}
 	service.Name = serviceName
@@ -145,7 +147,8 @@
 	return out
 }
 
-// equalShards cuts the key space into n equal shards of the given leaves each.
+// equalShards cuts the key space into n equal shards with the given number of leaves
+// each.
 func equalShards(prefix string, n, replicas int) []shardSpec {
 	var out []shardSpec
 	for i := range n {
@@ -158,7 +161,7 @@
 	return out
 }
 
-// config is the usual configuration of the world's query.
+// config returns the default configuration of the query.
 func (w *world) config(b query.Budget) query.Config {
 	return query.Config{
 		View: w.view, Service: w.view.Services[serviceName], Start: w.now, Deadline: w.now.Add(deadline),
@@ -173,14 +176,14 @@
 	w.handle(query.Begin{})
 }
 
-// observe tells the tracker what a leaf says, as the runtime does.
+// observe passes the versions that a leaf states to the tracker, as the runtime does.
 func (w *world) observe(leaf int, versions []uint64) {
 	if versions != nil {
 		w.tracker.Observe(leaf, versions)
 	}
 }
 
-// handle gives an event to the machine and checks its actions by the model.
+// handle delivers an event to the machine and checks its actions against the model.
 func (w *world) handle(ev query.Event) {
 	w.t.Helper()
 	if b, ok := ev.(query.Broken); ok && b.Crash {
@@ -217,7 +220,7 @@
 	w.checkRunning()
 }
 
-// recordOffer checks an offer against what was recordOffer before.
+// recordOffer checks an offer against the earlier attempts and records it.
 func (w *world) recordOffer(o query.Offer) {
 	w.t.Helper()
 	if int(o.Attempt) != len(w.attempts)+1 {
@@ -232,11 +235,11 @@
 	}
 	if w.gated && !w.replied {
 		if !o.Solo {
-			w.t.Fatalf("attempt %d is not alone, and nothing has shown that the request is safe", o.Attempt)
+			w.t.Fatalf("attempt %d is not solo, and the request is not known to be safe", o.Attempt)
 		}
 		for i, a := range w.attempts {
 			if a.live() {
-				w.t.Fatalf("attempt %d offered beside attempt %d, which should run alone", o.Attempt, i+1)
+				w.t.Fatalf("attempt %d offered while attempt %d is live, which should run alone", o.Attempt, i+1)
 			}
 		}
 	}
@@ -253,8 +256,8 @@
 	w.attempts = append(w.attempts, &attemptRecord{offer: o, view: w.view, provedNotRun: true})
 }
 
-// checkRunning checks that a query which is not finished waits for something,
-// and that what runs names one version.
+// checkRunning checks that an unfinished query has a live attempt or a pending wake-up,
+// and that all live attempts ask for one version.
 func (w *world) checkRunning() {
 	w.t.Helper()
 	if w.answer != nil {
@@ -272,21 +275,21 @@
 			continue
 		}
 		if version != 0 && version != a.offer.Version {
-			w.t.Fatalf("attempt %d asks for version %d beside version %d", i+1, a.offer.Version, version)
+			w.t.Fatalf("attempt %d asks for version %d while another asks for version %d", i+1, a.offer.Version, version)
 		}
 		version = a.offer.Version
 	}
-	// After a break a probe may wait for its slot, and a wake-up is due then.
+	// After a crash the next probe may wait for its time slot, with a wake-up.
 	waits := w.crashed && w.wakeAt.After(w.now) && w.wakeAt.Before(w.deadlineAt())
 	if live == 0 && !waits {
-		w.t.Fatalf("nothing runs and the query is not answered")
+		w.t.Fatalf("no attempt is live and the query is not answered")
 	}
 	if w.wakeAt.After(w.deadlineAt()) || w.wakeAt.IsZero() {
 		w.t.Fatalf("the wake-up at %v is not by the deadline", w.wakeAt)
 	}
 }
 
-// send delivers Sent.
+// send delivers Sent for an attempt; leaf is an index in the current view.
 func (w *world) send(id query.AttemptID, leaf int) {
 	a := w.attempts[id-1]
 	a.sent, a.provedNotRun, a.leaf = true, false, w.leafInOfferView(a, leaf)
@@ -294,27 +297,29 @@
 	w.handle(query.Sent{Attempt: id, Leaf: a.leaf})
 }
 
-// leafInOfferView is a leaf of the current view by the view of an attempt's offer.
+// leafInOfferView translates a leaf index of the current view to the view of an
+// attempt's offer.
 func (w *world) leafInOfferView(a *attemptRecord, leaf int) int {
 	return a.view.Upstreams[a.offer.Part.Upstream].Leaf(w.view.Leaves[leaf].ID)
 }
 
-// allowedLeaves lists the leaves that dispatch might choose for an offer, whose shard
-// is of the current view while what it avoids is of its own.
+// allowedLeaves lists the leaves that dispatch may choose for an offer. The offer's
+// shard is an index in the current view, its Avoid are indexes in the view at the offer.
 func (w *world) allowedLeaves(o query.Offer) []int {
-	named := w.attempts[o.Attempt-1].view
+	offerView := w.attempts[o.Attempt-1].view
 	var out []int
 	for _, l := range w.view.Upstreams[o.Part.Upstream].Shards[o.Shard].Leaves {
 		id := w.view.Leaves[l].ID
-		if !slices.ContainsFunc(o.Avoid, func(a int) bool { return named.Leaves[a].ID == id }) {
+		if !slices.ContainsFunc(o.Avoid, func(a int) bool { return offerView.Leaves[a].ID == id }) {
 			out = append(out, l)
 		}
 	}
 	return out
 }
 
-// answerTruthfully delivers what the leaf would truly say. A wide leaf replies with
-// all that it holds around the range asked.
+// answerTruthfully delivers the reply or the decline that fits the versions and ranges
+// of the leaf. If wide is set the leaf replies with the whole ranges that overlap the
+// part, otherwise with their overlap.
 func (w *world) answerTruthfully(id query.AttemptID, leafID string, wide bool) {
 	w.t.Helper()
 	a := w.attempts[id-1]
@@ -346,7 +351,8 @@
 	w.reply(id, query.Reply{Version: version, Ranges: ranges, Versions: versions})
 }
 
-// observeID tells the tracker about a leaf by its ID, if the view has it.
+// observeID passes the versions of the leaf with the ID to the tracker, if the view has
+// the leaf.
 func (w *world) observeID(id string, versions []uint64) {
 	for i := range w.view.Leaves {
 		if w.view.Leaves[i].ID == id {
@@ -378,18 +384,18 @@
 	w.handle(r)
 }
 
-// isValidReply reports whether a reply states the version asked, and disjoint
-// ranges of which one is of the part asked.
+// isValidReply reports whether a reply states the version asked for, and disjoint
+// ranges of the key space of which one overlaps the part.
 func isValidReply(o query.Offer, r query.Reply) bool {
 	var total uint64
-	near := false
+	overlaps := false
 	for _, x := range r.Ranges {
 		if x.Empty() || x.To > keySpace {
 			return false
 		}
 		total += x.Size()
-		near = near || x.Overlaps(o.Part.Range)
+		overlaps = overlaps || x.Overlaps(o.Part.Range)
 	}
 	set := keyrange.NewSet(r.Ranges...)
-	return near && set.Size() == total && (o.Version == 0 || o.Version == r.Version)
+	return overlaps && set.Size() == total && (o.Version == 0 || o.Version == r.Version)
 }
