--- a/kernel/query/config.go
+++ b/kernel/query/config.go
@@ -7,8 +7,8 @@
 )
 
 // VersionSource tells which index versions the leaves were last seen to serve.
-// snapshot.Tracker implements it. The runtime lets it observe an event's
-// Versions before it hands the event to the machine.
+// snapshot.Tracker implements it. The runtime passes the Versions of an event to
+// it before it delivers the event to the machine.
 type VersionSource interface {
 	// Pin returns the version that covers the largest known share of the
 	// service, the newest of equals; 0 if nothing is known.
@@ -52,9 +52,9 @@
 	// HedgeAfter returns the time without a reply after which a sent attempt of the
 	// upstream is hedged; 0, or a nil function, means no hedge.
 	HedgeAfter func(upstream int) time.Duration
-	// SettleMargin is the time by which an answer without its missing parts is given
-	// before the latency objective, so that it reaches the caller in time; 0 means a
-	// fifth of the objective.
+	// SettleMargin is how long before the latency objective an answer without its
+	// missing parts is given, so that it reaches the caller in time; 0 means a fifth of
+	// the objective.
 	SettleMargin time.Duration
 	// Groups are the shards that other instances are to gather; see Group.
 	Groups []Group
--- a/kernel/query/group.go
+++ b/kernel/query/group.go
@@ -100,7 +100,8 @@
 	}
 }
 
-// handleGathered takes in the reply to a group.
+// handleGathered stores a reply to a group. After the last one it closes the group's
+// parts.
 func (m *Machine) handleGathered(ev Gathered, now time.Time) {
 	a := m.findAttempt(ev.Attempt)
 	if a == nil || a.group == nil || a.state != stateSent {
--- a/kernel/query/messages.go
+++ b/kernel/query/messages.go
@@ -19,7 +19,7 @@
 
 // Part is a range of one upstream's key space.
 type Part struct {
-	Upstream int // index in the view
+	Upstream int // index in the view; see ViewChanged for which one
 	Range    keyrange.Range
 }
 
--- a/kernel/query/reply.go
+++ b/kernel/query/reply.go
@@ -106,8 +106,8 @@
 	return out
 }
 
-// updatePart updates a part after a reply of the part with the index replied: a
-// part without missing keys is covered, and the rest of a partly covered one is
+// updatePart updates part i after an accepted reply to the part with the index replied:
+// if no key is missing the part is covered, and if some keys are covered the rest is
 // asked again.
 func (m *Machine) updatePart(i, replied int, now time.Time) {
 	p := &m.parts[i]
--- a/kernel/query/retry.go
+++ b/kernel/query/retry.go
@@ -125,8 +125,8 @@
 	m.askPart(i, attempt{retry: true, solo: f.crashed})
 }
 
-// mayRetry reports whether a part may be asked again, and takes the budget tokens
-// of the retry if so. A request that may have run is retried only if it is
+// mayRetry reports whether a part may be asked again, and takes the retry's tokens from
+// the budgets. A request that may have run is retried only if it is
 // idempotent. If the failed attempt cost a leaf work, the retry takes a token of the
 // retry budget; after a crash the gate allows one retry per query instead.
 func (m *Machine) mayRetry(p *part, f failure, now time.Time) bool {
