--- a/kernel/query/gate_test.go
+++ b/kernel/query/gate_test.go
@@ -8,113 +8,117 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/query"
 )
 
-// crashEverywhere runs a request that breaks each leaf, and returns the leaves.
-func crashEverywhere(t *testing.T, canary, suspect bool, seed uint64) []int {
-	w := newWorld(t, idempotent, grid("a", 8, 2))
-	cfg := w.config(&tokens{hedges: plenty})
+// runPoisonRequest runs a request that crashes each leaf it runs on, and returns the
+// crashed leaves.
+func runPoisonRequest(t *testing.T, canary, suspect bool, seed uint64) []int {
+	w := newWorld(t, idempotent, equalShards("a", 8, 2))
+	cfg := w.config(&fixedBudget{hedges: unlimited})
 	cfg.Canary, cfg.Suspect, cfg.Seed = canary, suspect, seed
 	w.begin(cfg)
-	var broken []int
+	var crashed []int
 	for w.answer == nil {
 		w.sendAll()
 		a := w.attempts[len(w.attempts)-1]
 		if !a.offer.Solo {
-			t.Fatalf("attempt %d is not alone", a.offer.Attempt)
+			t.Fatalf("attempt %d is not solo", a.offer.Attempt)
 		}
 		a.ended = true
-		broken = append(broken, a.leaf)
+		crashed = append(crashed, a.leaf)
 		w.handle(query.Broken{Attempt: a.offer.Attempt, Leaf: a.leaf, Crash: true})
 	}
-	w.want(query.Failed, query.MissingCrashed)
-	return broken
+	w.wantOutcome(query.Failed, query.MissingCrashed)
+	return crashed
 }
 
-// TestPoisonBreaksAtMostTwoLeaves crashes every leaf that runs the request. A
-// suspect runs on the second of the two leaves of its canary, at any entry.
+// TestPoisonBreaksAtMostTwoLeaves runs a request that crashes every leaf. At any entry a
+// canary must crash the same two leaves, and a suspect the second of them.
 func TestPoisonBreaksAtMostTwoLeaves(t *testing.T) {
 	for seed := range uint64(200) {
-		first := crashEverywhere(t, true, false, seed)
+		first := runPoisonRequest(t, true, false, seed)
 		if len(first) != 2 || first[0] == first[1] || first[0]/2 != int(seed%8) {
-			t.Fatalf("seed %d: a canary broke %v", seed, first)
+			t.Fatalf("seed %d: a canary crashed %v", seed, first)
 		}
-		if second := crashEverywhere(t, false, true, seed); !slices.Equal(second, first[1:]) {
-			t.Fatalf("seed %d: a canary broke %v, a suspect %v", seed, first, second)
+		if second := runPoisonRequest(t, false, true, seed); !slices.Equal(second, first[1:]) {
+			t.Fatalf("seed %d: a canary crashed %v, a suspect %v", seed, first, second)
 		}
 	}
 }
 
-// TestSuspectsOfOneLeafPartWays counts how often two requests that were on one
-// leaf when it broke go on to the same one of 16.
-func TestSuspectsOfOneLeafPartWays(t *testing.T) {
+// TestSuspectsOfOneLeafGoToDifferentLeaves counts how often two requests that were on
+// one leaf when it crashed go on to the same one of 16 leaves. If they did so often, the
+// harmless one would not be cleared.
+func TestSuspectsOfOneLeafGoToDifferentLeaves(t *testing.T) {
 	const n = 400
 	same, pairs := 0, 0
-	next := make(map[int][]int) // by first leaf
+	next := make(map[int][]int) // the second leaves, by first leaf
 	for seed := range uint64(n) {
-		broken := crashEverywhere(t, true, false, seed*0x9e3779b97f4a7c15)
-		for _, other := range next[broken[0]] {
+		crashed := runPoisonRequest(t, true, false, seed*0x9e3779b97f4a7c15)
+		for _, other := range next[crashed[0]] {
 			pairs++
-			if other == broken[1] {
+			if other == crashed[1] {
 				same++
 			}
 		}
-		next[broken[0]] = append(next[broken[0]], broken[1])
+		next[crashed[0]] = append(next[crashed[0]], crashed[1])
 	}
 	if share := float64(same) / float64(pairs); share > 0.12 {
-		t.Fatalf("%d of %d pairs meet again", same, pairs)
+		t.Fatalf("%d of %d pairs go on to the same leaf", same, pairs)
 	}
-	t.Logf("%d of %d pairs meet again", same, pairs)
+	t.Logf("%d of %d pairs go on to the same leaf", same, pairs)
 }
 
-// TestNeighbourIsAnsweredInFull breaks one leaf under a harmless request.
-func TestNeighbourIsAnsweredInFull(t *testing.T) {
-	w := newWorld(t, idempotent, grid("a", 4, 2))
-	w.begin(w.config(&tokens{}))
-	w.send(1, w.allowed(w.attempts[0].offer)[0])
+// TestHarmlessRequestOnCrashedLeafCompletes crashes a leaf that runs a harmless request:
+// the request must be complete after one retry that runs alone.
+func TestHarmlessRequestOnCrashedLeafCompletes(t *testing.T) {
+	w := newWorld(t, idempotent, equalShards("a", 4, 2))
+	w.begin(w.config(&fixedBudget{}))
+	w.send(1, w.allowedLeaves(w.attempts[0].offer)[0])
 	w.attempts[0].ended = true
 	w.handle(query.Broken{Attempt: 1, Leaf: w.attempts[0].leaf, Crash: true})
 	w.waitForProbe()
-	if a := w.attempts[len(w.attempts)-1]; !a.offer.Solo || !w.attempts[1].taken {
-		t.Fatalf("alone %v, the others recalled %v", a.offer.Solo, w.attempts[1].taken)
+	if a := w.attempts[len(w.attempts)-1]; !a.offer.Solo || !w.attempts[1].withdrawn {
+		t.Fatalf("solo %v, queued attempts withdrawn %v", a.offer.Solo, w.attempts[1].withdrawn)
 	}
-	w.runHonestly()
-	w.want(query.Complete, "")
+	w.runToAnswer()
+	w.wantOutcome(query.Complete, "")
 	if w.answer.Retries != 1 {
-		t.Fatalf("%d retries, and one leaf broke", w.answer.Retries)
+		t.Fatalf("%d retries after the crash of one leaf", w.answer.Retries)
 	}
 }
 
-// TestClearedFreesAQueuedCanary opens the whole fan-out on another's word.
-func TestClearedFreesAQueuedCanary(t *testing.T) {
-	w := newWorld(t, idempotent, grid("a", 4, 2))
-	cfg := w.config(&tokens{})
+// TestClearedOpensGateForQueuedCanary clears a request whose canary is queued: all parts
+// must be offered at once, and the canary's part no longer alone.
+func TestClearedOpensGateForQueuedCanary(t *testing.T) {
+	w := newWorld(t, idempotent, equalShards("a", 4, 2))
+	cfg := w.config(&fixedBudget{})
 	cfg.Canary = true
 	w.begin(cfg)
 	w.gated = false
 	w.handle(query.Cleared{})
-	if len(w.attempts) != 5 || !w.attempts[0].taken || w.attempts[4].offer.Solo || w.attempts[4].offer.Retry {
+	if len(w.attempts) != 5 || !w.attempts[0].withdrawn || w.attempts[4].offer.Solo || w.attempts[4].offer.Retry {
 		t.Fatalf("attempts %+v", w.attempts)
 	}
-	w.runHonestly()
-	w.want(query.Complete, "")
+	w.runToAnswer()
+	w.wantOutcome(query.Complete, "")
 }
 
-func TestCondemnedIsAnsweredAtOnce(t *testing.T) {
-	w := newWorld(t, idempotent, grid("a", 4, 2))
-	cfg := w.config(&tokens{})
+func TestQuarantinedIsAnsweredAtOnce(t *testing.T) {
+	w := newWorld(t, idempotent, equalShards("a", 4, 2))
+	cfg := w.config(&fixedBudget{})
 	cfg.Suspect = true
 	w.begin(cfg)
 	w.handle(query.Quarantined{RetryAfter: time.Minute})
-	w.want(query.NotRun, string(query.ReasonQuarantined))
+	w.wantOutcome(query.NotRun, string(query.ReasonQuarantined))
 	if w.answer.RetryAfter != time.Minute {
 		t.Fatalf("retry after %v", w.answer.RetryAfter)
 	}
 }
 
-// TestCanaryGoesElsewhereWhenItsLeafIsRefused has the queue refuse the one leaf
-// that the seed names.
+// TestCanaryGoesElsewhereWhenItsLeafIsRefused lets the queue refuse the leaf that the
+// seed selects: the canary must be offered to the other leaves of the shard.
 func TestCanaryGoesElsewhereWhenItsLeafIsRefused(t *testing.T) {
-	w := newWorld(t, idempotent, grid("a", 4, 3))
-	cfg := w.config(&tokens{})
+	w := newWorld(t, idempotent, equalShards("a", 4, 3))
+	cfg := w.config(&fixedBudget{})
 	cfg.Canary = true
 	w.begin(cfg)
 	if n := len(w.attempts[0].offer.Avoid); n != 2 {
@@ -126,6 +130,6 @@
 	if len(w.attempts) != 2 || a.Part != w.attempts[0].offer.Part || len(a.Avoid) != 0 || a.Retry {
 		t.Fatalf("offered %+v", a)
 	}
-	w.runHonestly()
-	w.want(query.Complete, "")
+	w.runToAnswer()
+	w.wantOutcome(query.Complete, "")
 }
--- a/kernel/query/group_test.go
+++ b/kernel/query/group_test.go
@@ -13,7 +13,7 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/view"
 )
 
-// drawGroups draws the shards that another instance is to gather.
+// drawGroups draws the shards that other instances are to gather.
 func drawGroups(t *rapid.T, w *world) []query.Group {
 	var out []query.Group
 	for u := range w.view.Upstreams {
@@ -30,26 +30,27 @@
 	return out
 }
 
-// offeredGroup checks the offer of a group and records it as one attempt.
-func (w *world) offeredGroup(o query.OfferGroup) {
+// recordGroupOffer checks the offer of a group and records it as one attempt.
+func (w *world) recordGroupOffer(o query.OfferGroup) {
 	w.t.Helper()
-	if !w.idem {
-		w.t.Fatalf("a group is offered of a request that may run only once")
+	if !w.idempotent {
+		w.t.Fatalf("a group of a non-idempotent request is offered")
 	}
 	if w.gated && !w.replied {
-		w.t.Fatalf("a group is offered, and nothing has shown that the request is safe")
+		w.t.Fatalf("a group is offered, and the request is not known to be safe")
 	}
 	g := &w.groups[o.Group]
 	part := query.Part{Upstream: g.Upstream, Range: g.Ranges[0]}
-	w.attempts = append(w.attempts, &tried{
-		offer: query.Offer{Attempt: o.Attempt, Part: part, Version: o.Version}, view: w.view, clean: true, group: g, leaf: view.NoLeaf,
+	w.attempts = append(w.attempts, &attemptRecord{
+		offer: query.Offer{Attempt: o.Attempt, Part: part, Version: o.Version}, view: w.view, provedNotRun: true, group: g, leaf: view.NoLeaf,
 	})
 	if int(o.Attempt) != len(w.attempts) {
 		w.t.Fatalf("group offered as attempt %d after %d", o.Attempt, len(w.attempts)-1)
 	}
 }
 
-// advanceGroup lets a group be accepted, refused, answered or lost.
+// advanceGroup delivers the next event of a group: accepted, not accepted, a reply or
+// the loss of the instance.
 func (w *world) advanceGroup(t *rapid.T, id query.AttemptID) {
 	a := w.attempts[id-1]
 	if !a.sent {
@@ -58,7 +59,7 @@
 			w.handle(query.NotSent{Attempt: id, Reason: query.ReasonNotAccepted})
 			return
 		}
-		a.sent, a.clean = true, false
+		a.sent, a.provedNotRun = true, false
 		w.handle(query.Sent{Attempt: id, Leaf: view.NoLeaf})
 		return
 	}
@@ -67,7 +68,7 @@
 		a.ended = true
 		w.handle(query.Broken{Attempt: id, Leaf: view.NoLeaf, Cause: "lost"})
 	case 1:
-		w.gather(id, query.Gathered{Version: max(a.offer.Version, 1), Ranges: []keyrange.Range{{To: keySpace + 1}}}, false)
+		w.deliverGathered(id, query.Gathered{Version: max(a.offer.Version, 1), Ranges: []keyrange.Range{{To: keySpace + 1}}}, false)
 	default:
 		var covered []keyrange.Range
 		for _, r := range a.group.Ranges {
@@ -77,71 +78,73 @@
 		}
 		version := rapid.SampledFrom([]uint64{max(a.offer.Version, 1), 9}).Draw(t, "version")
 		going := rapid.IntRange(0, 3).Draw(t, "going") == 0
-		w.gather(id, query.Gathered{Version: version, Ranges: covered, Sent: 3, Hedges: 1, HasMore: going}, version != 9 || a.offer.Version == 0)
+		w.deliverGathered(id, query.Gathered{Version: version, Ranges: covered, Sent: 3, Hedges: 1, HasMore: going}, version != 9 || a.offer.Version == 0)
 	}
 }
 
-// gather delivers the reply to a group; true says that it is due to be accepted.
-func (w *world) gather(id query.AttemptID, g query.Gathered, due bool) {
+// deliverGathered delivers a reply to a group. valid says that the machine may accept it.
+func (w *world) deliverGathered(id query.AttemptID, g query.Gathered, valid bool) {
 	w.t.Helper()
 	a := w.attempts[id-1]
-	w.serial++
-	key := fmt.Sprintf("group %d", w.serial)
+	w.replyCount++
+	key := fmt.Sprintf("group %d", w.replyCount)
 	g.Attempt, g.Attachment = id, key
 	if a.live() {
-		a.told.Sent += g.Sent
-		a.told.Hedges += g.Hedges
-		a.told.Retries += g.Retries
-		if due && len(g.Ranges) > 0 {
-			w.honest[key] = query.Reply{Version: g.Version, Ranges: g.Ranges}
+		a.reported.Sent += g.Sent
+		a.reported.Hedges += g.Hedges
+		a.reported.Retries += g.Retries
+		if valid && len(g.Ranges) > 0 {
+			w.acceptable[key] = query.Reply{Version: g.Version, Ranges: g.Ranges}
 			w.replied = true
 		}
 	}
 	a.ended = !g.HasMore
-	if g.HasMore && due && len(g.Ranges) == len(a.group.Ranges) {
-		a.ended = true // all is there
+	if g.HasMore && valid && len(g.Ranges) == len(a.group.Ranges) {
+		a.ended = true // all parts are covered
 	}
 	w.handle(g)
 }
 
-// groupWorld begins a query over eight shards of which another instance gathers three.
-func groupWorld(t *testing.T, attempts int) *world {
+// newGroupWorld begins a query of eight shards, three of which are a group. attempts is
+// the route's limit.
+func newGroupWorld(t *testing.T, attempts int) *world {
 	service := document.Service{Idempotent: true, Objective: 100 * time.Millisecond, LeastCoverage: 0.5, Attempts: attempts}
-	w := newWorld(t, service, grid("a", 8, 3))
-	cfg := w.config(&tokens{retries: 100})
+	w := newWorld(t, service, equalShards("a", 8, 3))
+	cfg := w.config(&fixedBudget{retries: 100})
 	shards := w.view.Upstreams[0].Shards
 	cfg.Groups = []query.Group{{Ranges: []keyrange.Range{shards[1].Range, shards[2].Range, shards[6].Range}}}
 	w.begin(cfg)
 	if n := len(w.attempts); n != 6 || w.attempts[0].group == nil {
-		t.Fatalf("%d attempts, want one of the group and five of the other shards", n)
+		t.Fatalf("%d attempts, want one for the group and five for the other shards", n)
 	}
 	return w
 }
 
-// answerRest lets the leaves answer all attempts but the group's.
-func (w *world) answerRest() {
+// answerOtherAttempts sends and truthfully answers all queued attempts but the group's.
+func (w *world) answerOtherAttempts() {
 	for i := 1; i < len(w.attempts); i++ {
 		if a := w.attempts[i]; a.live() && !a.sent {
-			w.send(a.offer.Attempt, w.allowed(a.offer)[0])
-			w.honestAnswer(a.offer.Attempt, w.sentTo[a.offer.Attempt], false)
+			w.send(a.offer.Attempt, w.allowedLeaves(a.offer)[0])
+			w.answerTruthfully(a.offer.Attempt, w.sentTo[a.offer.Attempt], false)
 		}
 	}
 }
 
-// TestGroupIsOneReply takes a group's reply in, whole or in part, and only once.
-func TestGroupIsOneReply(t *testing.T) {
+// TestGroupReplyIsAcceptedOnce checks that a group's reply is accepted, also one that
+// covers only some or none of its parts, and that a repeated reply is ignored.
+func TestGroupReplyIsAcceptedOnce(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
 		covered int
 		share   float64
 		outcome query.Outcome
 	}{{"whole", 3, 1, query.Complete}, {"in part", 2, 7.0 / 8, query.Partial}, {"nothing", 0, 5.0 / 8, query.Partial}} {
-		w := groupWorld(t, 2)
+		w := newGroupWorld(t, 2)
 		w.handle(query.Sent{Attempt: 1, Leaf: view.NoLeaf})
-		w.attempts[0].sent, w.attempts[0].clean = true, false
-		w.gather(1, query.Gathered{Version: 1, Ranges: w.groups[0].Ranges[:tc.covered], Sent: 4}, true)
+		w.attempts[0].sent, w.attempts[0].provedNotRun = true, false
+		w.deliverGathered(1, query.Gathered{Version: 1, Ranges: w.groups[0].Ranges[:tc.covered], Sent: 4}, true)
 		w.handle(query.Gathered{Attempt: 1, Version: 1, Ranges: w.groups[0].Ranges, Sent: 4, Attachment: "again"})
-		w.answerRest()
+		w.answerOtherAttempts()
 		if w.answer == nil || w.answer.Share != tc.share || w.answer.Outcome != tc.outcome {
 			t.Fatalf("%s: answer %+v, want share %v", tc.name, w.answer, tc.share)
 		}
@@ -156,44 +159,47 @@
 	}
 }
 
-// TestGroupNotAcceptedIsAskedHere asks the leaves where nobody took the group over.
-func TestGroupNotAcceptedIsAskedHere(t *testing.T) {
-	w := groupWorld(t, 2)
+// TestUnacceptedGroupIsAskedLocally checks that the query asks the leaves itself if no
+// instance accepts the group.
+func TestUnacceptedGroupIsAskedLocally(t *testing.T) {
+	w := newGroupWorld(t, 2)
 	w.attempts[0].ended = true
 	w.handle(query.NotSent{Attempt: 1, Reason: query.ReasonNotAccepted})
-	w.answerRest()
+	w.answerOtherAttempts()
 	if w.answer == nil || w.answer.Outcome != query.Complete || w.answer.Retries != 0 {
 		t.Fatalf("answer %+v, want a complete one without retries", w.answer)
 	}
 }
 
-// TestLostGroupIsNotAskedAgain loses the instance that had taken a group over: it may
-// have made all the attempts that the route allows.
+// TestLostGroupIsNotAskedAgain loses the instance that gathers a group. The instance may
+// have made all the attempts that the route allows, so the parts are asked again only if
+// the route sets no limit.
 func TestLostGroupIsNotAskedAgain(t *testing.T) {
 	for _, tc := range []struct {
 		attempts, asked int
 	}{{2, 0}, {0, 3}} {
-		w := groupWorld(t, tc.attempts)
+		w := newGroupWorld(t, tc.attempts)
 		before := len(w.attempts)
 		w.handle(query.Sent{Attempt: 1, Leaf: view.NoLeaf})
-		w.attempts[0].sent, w.attempts[0].clean, w.attempts[0].ended = true, false, true
+		w.attempts[0].sent, w.attempts[0].provedNotRun, w.attempts[0].ended = true, false, true
 		w.handle(query.Broken{Attempt: 1, Leaf: view.NoLeaf, Cause: "lost"})
 		if got := len(w.attempts) - before; got != tc.asked {
 			t.Errorf("%d attempts allowed: %d parts are asked again, want %d", tc.attempts, got, tc.asked)
 		}
-		w.answerRest()
+		w.answerOtherAttempts()
 		if w.answer == nil || w.answer.Share < 5.0/8 {
 			t.Errorf("%d attempts allowed: answer %+v", tc.attempts, w.answer)
 		}
 	}
 }
 
-// TestOnlySomeShards runs what an instance gathers for another: it is settled by
-// the share that the other one can use, and asks nothing else.
-func TestOnlySomeShards(t *testing.T) {
+// TestOnlyShardsGivesInterimAnswers runs a query with OnlyShards, as an instance does that
+// gathers them for another: it must ask no other shards, give an interim answer when one
+// is due, and go on until its shards are covered.
+func TestOnlyShardsGivesInterimAnswers(t *testing.T) {
 	service := document.Service{Idempotent: true, Objective: 100 * time.Millisecond, LeastCoverage: 0.9}
-	w := newWorld(t, service, grid("a", 8, 2))
-	cfg := w.config(&tokens{})
+	w := newWorld(t, service, equalShards("a", 8, 2))
+	cfg := w.config(&fixedBudget{})
 	shards := w.view.Upstreams[0].Shards
 	cfg.OnlyShards = []query.Group{{Ranges: []keyrange.Range{shards[1].Range, shards[2].Range, shards[6].Range}}}
 	w.begin(cfg)
@@ -201,33 +207,33 @@
 		t.Fatalf("%d attempts, want 3", n)
 	}
 	for id := query.AttemptID(1); id <= 2; id++ {
-		w.send(id, w.allowed(w.attempts[id-1].offer)[0])
-		w.honestAnswer(id, w.sentTo[id], false)
+		w.send(id, w.allowedLeaves(w.attempts[id-1].offer)[0])
+		w.answerTruthfully(id, w.sentTo[id], false)
 	}
 	w.now = w.now.Add(80 * time.Millisecond)
 	w.handle(query.Tick{})
-	if w.answer != nil || len(w.interim) != 1 || len(w.interim[0].Results) != 2 {
-		t.Fatalf("answer %+v after the interim ones %+v, want one of these with two parts", w.answer, w.interim)
+	if w.answer != nil || len(w.interims) != 1 || len(w.interims[0].Results) != 2 {
+		t.Fatalf("answer %+v after the interim answers %+v, want one interim answer with two parts", w.answer, w.interims)
 	}
-	w.send(3, w.allowed(w.attempts[2].offer)[0])
-	w.honestAnswer(3, w.sentTo[3], false)
+	w.send(3, w.allowedLeaves(w.attempts[2].offer)[0])
+	w.answerTruthfully(3, w.sentTo[3], false)
 	if w.answer == nil || len(w.answer.Results) != 3 {
 		t.Fatalf("answer %+v, want all three parts", w.answer)
 	}
 }
 
-// TestGroupGoesOn takes more than one reply of a group, and is settled in between
-// when that is enough.
-func TestGroupGoesOn(t *testing.T) {
-	w := groupWorld(t, 2)
+// TestGroupRepliesMoreThanOnce checks that several replies of a group are accepted, and
+// that the query settles before the last one if the coverage suffices.
+func TestGroupRepliesMoreThanOnce(t *testing.T) {
+	w := newGroupWorld(t, 2)
 	w.handle(query.Sent{Attempt: 1, Leaf: view.NoLeaf})
-	w.attempts[0].sent, w.attempts[0].clean = true, false
-	w.gather(1, query.Gathered{Version: 1, Ranges: w.groups[0].Ranges[:1], HasMore: true, Sent: 3}, true)
-	w.answerRest()
+	w.attempts[0].sent, w.attempts[0].provedNotRun = true, false
+	w.deliverGathered(1, query.Gathered{Version: 1, Ranges: w.groups[0].Ranges[:1], HasMore: true, Sent: 3}, true)
+	w.answerOtherAttempts()
 	if w.answer != nil {
 		t.Fatalf("answer %+v before the group's rest", w.answer)
 	}
-	w.gather(1, query.Gathered{Version: 1, Ranges: w.groups[0].Ranges[1:2], HasMore: true, Sent: 1}, true)
+	w.deliverGathered(1, query.Gathered{Version: 1, Ranges: w.groups[0].Ranges[1:2], HasMore: true, Sent: 1}, true)
 	w.now = w.now.Add(85 * time.Millisecond)
 	w.handle(query.Tick{})
 	if w.answer == nil || w.answer.Share != 7.0/8 || w.answer.Reason != query.MissingSettled || w.answer.Sent != 9 {
