--- a/kernel/rollout/history.go
+++ b/kernel/rollout/history.go
@@ -7,39 +7,39 @@
 	"strings"
 )
 
-// maxHistory is the number of saves that a stored value remembers. A lost
-// reply can be settled as long as at most this many saves followed it.
-const maxHistory = 32
+// maxHistoryRecords is the number of saves that a stored value records. A save whose
+// reply was lost can be settled as long as fewer saves than this followed it.
+const maxHistoryRecords = 32
 
-// historyPrefix starts a history line. It is a TOML comment, so that the
-// stored value is a TOML document as it stands.
+// historyPrefix starts a history line. It is a TOML comment, so that the stored value
+// is a valid TOML document including its history.
 const historyPrefix = "#saved "
 
-// SaveRecord is one save: the submission's nonce and the version it replaced.
+// SaveRecord identifies a save by the submission's nonce and the version it replaced.
 type SaveRecord struct {
 	Nonce string
 	Base  uint64
 }
 
-// EncodeValue builds the stored value: the history with the new save first, then the
-// TOML text. History lines that the text brings along are dropped.
-func EncodeValue(link SaveRecord, base []SaveRecord, toml []byte) []byte {
+// EncodeValue builds a stored value: the history with the new record first, then the
+// TOML text. It drops history lines that the text contains.
+func EncodeValue(record SaveRecord, history []SaveRecord, text []byte) []byte {
 	var b bytes.Buffer
-	links := append([]SaveRecord{link}, base...)
-	for _, l := range links[:min(len(links), maxHistory)] {
-		fmt.Fprintf(&b, "%s%s %d\n", historyPrefix, l.Nonce, l.Base)
+	records := append([]SaveRecord{record}, history...)
+	for _, r := range records[:min(len(records), maxHistoryRecords)] {
+		fmt.Fprintf(&b, "%s%s %d\n", historyPrefix, r.Nonce, r.Base)
 	}
-	b.Write(DocumentText(toml))
+	b.Write(DocumentText(text))
 	return b.Bytes()
 }
 
-// ParseHistory reads the saves of a stored value, newest first. A value that
-// something else wrote may have none.
+// ParseHistory returns the save records of a stored value, newest first. A value that
+// another program wrote may have none.
 func ParseHistory(value []byte) []SaveRecord {
-	var links []SaveRecord
+	var records []SaveRecord
 	for line := range strings.Lines(string(value)) {
 		rest, ok := strings.CutPrefix(line, historyPrefix)
-		if !ok || len(links) == maxHistory {
+		if !ok || len(records) == maxHistoryRecords {
 			break
 		}
 		nonce, version, _ := strings.Cut(strings.TrimSpace(rest), " ")
@@ -47,12 +47,12 @@
 		if err != nil {
 			break
 		}
-		links = append(links, SaveRecord{Nonce: nonce, Base: base})
+		records = append(records, SaveRecord{Nonce: nonce, Base: base})
 	}
-	return links
+	return records
 }
 
-// DocumentText is the TOML text of a stored value, without the history.
+// DocumentText returns the TOML text of a stored value without the history.
 func DocumentText(value []byte) []byte {
 	for bytes.HasPrefix(value, []byte(historyPrefix)) {
 		_, after, _ := bytes.Cut(value, []byte("\n"))
@@ -61,15 +61,16 @@
 	return value
 }
 
-// fate says what a stored value tells of a save: that it took effect, that
-// another save took its place, or neither. The store lets one save at most
-// replace each version, so the save that did replace it is decisive.
-func fate(value []byte, link SaveRecord) State {
-	for _, l := range ParseHistory(value) {
-		if l.Base != link.Base {
+// stateInHistory returns what a stored value tells about a save: Accepted if it took
+// effect, Conflict if another save replaced the same version, otherwise Unknown. The
+// store lets at most one save replace each version, so the record of the save that
+// replaced it is proof.
+func stateInHistory(value []byte, record SaveRecord) State {
+	for _, r := range ParseHistory(value) {
+		if r.Base != record.Base {
 			continue
 		}
-		if l.Nonce == link.Nonce {
+		if r.Nonce == record.Nonce {
 			return Accepted
 		}
 		return Conflict
--- a/kernel/rollout/machine.go
+++ b/kernel/rollout/machine.go
@@ -5,86 +5,87 @@
 	"time"
 )
 
-// Times of the machine.
+// Poll rates and delays of the machine.
 const (
-	// pollReads is the rate of polls that the whole fleet may cost the store, per second.
-	pollReads = 50
-	// minPoll is the shortest time between polls of one instance.
-	minPoll = time.Second
-	// watchedPoll is the same while the watch works, which then brings changes
-	// at once: a poll moves the whole document.
-	watchedPoll = 6 * time.Second
-	// searchEvery is the time between searches while there is no document.
-	searchEvery = 250 * time.Millisecond
-	// firstHold is how long a fresh instance holds its first document back to
-	// hear its peers, and holdAskEvery how often it asks them meanwhile: the
-	// store may answer from an old state, and its peers have what is in force.
-	firstHold    = 500 * time.Millisecond
-	holdAskEvery = 100 * time.Millisecond
-	// askTimeout is the time after which another peer may be asked.
-	askTimeout = 500 * time.Millisecond
+	// maxFleetPollsPerSecond bounds the rate of polls of the store by all instances together.
+	maxFleetPollsPerSecond = 50
+	// minPollInterval is the minimum mean time between the polls of one instance.
+	minPollInterval = time.Second
+	// watchedPollInterval is the same while the watch works. It is longer, because the watch
+	// delivers changes at once and each poll transfers the whole document.
+	watchedPollInterval = 6 * time.Second
+	// searchInterval is the mean time between polls while there is no document.
+	searchInterval = 250 * time.Millisecond
+	// initialHold is how long an instance that has started delays the activation of its first
+	// version from the store, and holdAskInterval how often it asks its peers meanwhile: the
+	// store may return a stale version, whereas peers return the version in force.
+	initialHold     = 500 * time.Millisecond
+	holdAskInterval = 100 * time.Millisecond
+	// peerAskTimeout is the time after which the machine may ask another peer for the same
+	// generation.
+	peerAskTimeout = 500 * time.Millisecond
 )
 
-// Machine is the rollout machine of one instance.
+// Machine is the state machine that rolls out the configuration at one instance.
 type Machine struct {
-	rnd       *rand.Rand
-	instances int
-	watched   bool
+	rnd           *rand.Rand
+	instanceCount int
+	watchWorking  bool
 
-	current Version // generation 0: none yet
-	refused Version // highest generation seen that is not a valid document
-	reading bool
-	empty   bool // the last answered read found no object
+	current      Version // in force; its generation is 0 if there is none
+	invalid      Version // highest generation seen that is not a valid document
+	readInFlight bool
+	storeEmpty   bool // whether the last answered read found no object
 
-	// first is the highest version seen while it is held back; its generation
-	// is 0 when none is. It is enforced at holdEnd.
-	first       Version
-	firstSource Source
+	// heldVersion is the highest version seen during the initial hold; its generation is 0 if
+	// none is held. It becomes active at holdEnd.
+	heldVersion Version
+	heldSource  Source
 	holdEnd     time.Time
-	holdAskAt   time.Time
+	nextHoldAsk time.Time
 
-	pollAt  time.Time
-	askedAt time.Time
-	asked   uint64 // highest generation asked of a peer and not yet answered
+	nextPoll        time.Time
+	askedAt         time.Time
+	askedGeneration uint64 // highest generation requested from a peer and not answered; 0: none
 
 	saves   map[SaveID]*save
 	actions []Action
 }
 
-// New returns a machine; the random source spreads polls.
+// New returns a machine without a version. The random source spreads polls.
 func New(rnd *rand.Rand) *Machine {
-	return &Machine{rnd: rnd, instances: 1, saves: make(map[SaveID]*save)}
+	return &Machine{rnd: rnd, instanceCount: 1, saves: make(map[SaveID]*save)}
 }
 
-// Current is the version in force; its generation is 0 when there is none.
+// Current returns the version in force; its generation is 0 if there is none.
 func (m *Machine) Current() Version { return m.current }
 
-// InvalidVersion is the newest version seen that is not a valid document and is newer
-// than the one in force; its generation is 0 when there is none.
+// InvalidVersion returns the newest version seen that is not a valid document, if it is
+// newer than the version in force; otherwise its generation is 0.
 func (m *Machine) InvalidVersion() Version {
-	if m.refused.Generation <= m.current.Generation {
+	if m.invalid.Generation <= m.current.Generation {
 		return Version{}
 	}
-	return m.refused
+	return m.invalid
 }
 
-// Base is the generation that a form opened now must name when it is saved. A
-// refused version counts, so that an operator can replace it.
-func (m *Machine) Base() uint64 { return max(m.current.Generation, m.refused.Generation) }
+// Base returns the generation that a form opened at this time must name when it is saved.
+// An invalid version counts, so that an operator can replace it.
+func (m *Machine) Base() uint64 { return max(m.current.Generation, m.invalid.Generation) }
 
 // StoreEmpty reports whether the last answered read found no object.
-func (m *Machine) StoreEmpty() bool { return m.empty }
+func (m *Machine) StoreEmpty() bool { return m.storeEmpty }
 
-// SetInstanceCount tells the number of live instances, which share the polls.
-func (m *Machine) SetInstanceCount(n int) { m.instances = max(1, n) }
+// SetInstanceCount sets the number of live instances, among which the polls are divided.
+func (m *Machine) SetInstanceCount(n int) { m.instanceCount = max(1, n) }
 
-// SetWatchWorking tells whether the watch of the object works. When it stops to, the
-// next poll comes as soon as without one.
-func (m *Machine) SetWatchWorking(works bool, now time.Time) {
-	if m.watched && !works && !m.pollAt.IsZero() && m.pollAt.After(now.Add(minPoll)) {
-		m.pollAt = now.Add(time.Duration(m.rnd.Int64N(int64(minPoll))))
+// SetWatchWorking sets whether the watch of the object works. When it fails, the next poll
+// comes as soon as it would without a watch.
+func (m *Machine) SetWatchWorking(working bool, now time.Time) {
+	if m.watchWorking && !working && !m.nextPoll.IsZero() && m.nextPoll.After(now.Add(minPollInterval)) {
+		m.nextPoll = now.Add(time.Duration(m.rnd.Int64N(int64(minPollInterval))))
 	}
-	m.watched = works
+	m.watchWorking = working
 }
 
 // Handle implements machine.Machine.
@@ -92,92 +93,92 @@
 	m.actions = m.actions[:0]
 	switch e := event.(type) {
 	case Start:
-		m.read()
+		m.readStore()
 	case VersionSeen:
-		m.seen(e, now)
+		m.observeVersion(e, now)
 	case StoreEmpty:
-		m.readEnded(now)
-		m.empty = true
+		m.finishRead(now)
+		m.storeEmpty = true
 		m.settle(Version{}, true)
-		m.search()
+		m.searchPeers()
 	case StoreFailed:
-		m.readEnded(now)
-		m.search()
+		m.finishRead(now)
+		m.searchPeers()
 	case PeerGeneration:
-		m.peerAhead(e, now)
+		m.askNewerPeer(e, now)
 	case PeerFailed:
-		m.asked = 0
+		m.askedGeneration = 0
 	case Submit:
 		m.submit(e, now)
 	case PutDone:
-		m.putDone(e)
+		m.acceptSave(e)
 	case PutConflict:
-		m.putEnded(e.ID, true, now)
+		m.readBack(e.ID, true, now)
 	case PutUnknown:
-		m.putEnded(e.ID, false, now)
+		m.readBack(e.ID, false, now)
 	case PutRefused:
-		m.putRefused(e)
+		m.refuseSave(e)
 	case Tick:
 		m.tick(now)
 	}
-	m.wake(now)
+	m.scheduleWake(now)
 	return m.actions
 }
 
-// emit adds an action.
 func (m *Machine) emit(a Action) { m.actions = append(m.actions, a) }
 
-// read asks for the object, unless a read is under way.
-func (m *Machine) read() {
-	if m.reading {
+// readStore requests a read of the object, unless one is in flight.
+func (m *Machine) readStore() {
+	if m.readInFlight {
 		return
 	}
-	m.reading = true
+	m.readInFlight = true
 	m.emit(ReadStore{})
 }
 
-// readEnded notes the end of a read and plans the next poll.
-func (m *Machine) readEnded(now time.Time) {
-	m.reading = false
-	m.pollAt = now.Add(m.pollEvery())
+// finishRead records the end of a read and schedules the next poll.
+func (m *Machine) finishRead(now time.Time) {
+	m.readInFlight = false
+	m.nextPoll = now.Add(m.pollInterval())
 }
 
-// pollEvery is the time to the next poll: polls of the whole fleet stay below
-// pollReads a second, and are spread by a random part.
-func (m *Machine) pollEvery() time.Duration {
-	least := minPoll
-	if m.watched {
-		least = watchedPoll
+// pollInterval returns the time to the next poll. It is jittered, and grows with the number
+// of instances so that they stay below maxFleetPollsPerSecond together.
+func (m *Machine) pollInterval() time.Duration {
+	shortest := minPollInterval
+	if m.watchWorking {
+		shortest = watchedPollInterval
 	}
-	every := max(least, time.Duration(m.instances)*time.Second/pollReads)
+	interval := max(shortest, time.Duration(m.instanceCount)*time.Second/maxFleetPollsPerSecond)
 	if m.current.Generation == 0 {
-		every = searchEvery
+		interval = searchInterval
 	}
-	return every/2 + time.Duration(m.rnd.Int64N(int64(every)))
+	return interval/2 + time.Duration(m.rnd.Int64N(int64(interval)))
 }
 
-// search asks all peers while there is no document.
-func (m *Machine) search() {
+// searchPeers asks all peers for a document if there is none in force.
+func (m *Machine) searchPeers() {
 	if m.current.Generation == 0 {
 		m.emit(AskAllPeers{})
 	}
 }
 
-// seen takes a version from any source.
-func (m *Machine) seen(e VersionSeen, now time.Time) {
+// observeVersion handles a version from any source.
+func (m *Machine) observeVersion(e VersionSeen, now time.Time) {
 	m.consider(e.Version, e.Source, now)
 	switch e.Source {
 	case SourceStore:
-		m.readEnded(now)
-		m.empty = false
+		m.finishRead(now)
+		m.storeEmpty = false
 	case SourcePeer:
-		m.asked = 0
+		m.askedGeneration = 0
 	}
 	m.settle(e.Version, e.Source == SourceStore)
 }
 
-// consider puts a version in force if it is newer than the one in force. This
-// is the only place that changes the version in force.
+// consider activates a version if it is newer than the one in force, or holds it back if it
+// is the first one and comes from the store. Every version that becomes active passes through
+// here.
 func (m *Machine) consider(v Version, source Source, now time.Time) {
 	if v.Generation == m.current.Generation && v.InvalidReason == "" && v.Hash != m.current.Hash {
 		m.emit(RejectVersion{v.Generation, source, "another document at the generation in force"})
@@ -187,102 +188,103 @@
 		return
 	}
 	if v.InvalidReason != "" {
-		m.refuse(v, source)
+		m.rejectInvalid(v, source)
 		return
 	}
 	if m.current.Generation == 0 && (source == SourceStore || source == SourceWatch) {
-		m.hold(v, source, now)
+		m.holdVersion(v, source, now)
 		return
 	}
-	m.enforce(v, source)
+	m.activate(v, source)
 }
 
-// enforce puts a version in force.
-func (m *Machine) enforce(v Version, source Source) {
-	m.first = Version{}
+// activate puts a version in force.
+func (m *Machine) activate(v Version, source Source) {
+	m.heldVersion = Version{}
 	m.current = v
 	m.emit(Activate{v, source})
 	m.emit(AnnounceGeneration{All: source == SourceSave})
 }
 
-// hold keeps the highest version that the store gave a fresh instance for a
-// while. What a peer gives is in force there, and is enforced at once.
-func (m *Machine) hold(v Version, source Source, now time.Time) {
-	if m.first.Generation == 0 {
-		m.holdEnd = now.Add(firstHold)
-		m.holdAskAt = now
+// holdVersion holds back the highest version that the store returned to an instance that has
+// started. A version from a peer is in force there and is activated at once.
+func (m *Machine) holdVersion(v Version, source Source, now time.Time) {
+	if m.heldVersion.Generation == 0 {
+		m.holdEnd = now.Add(initialHold)
+		m.nextHoldAsk = now
 	}
-	if v.Generation > m.first.Generation {
-		m.first, m.firstSource = v, source
+	if v.Generation > m.heldVersion.Generation {
+		m.heldVersion, m.heldSource = v, source
 	}
-	m.tickHold(now)
+	m.advanceHold(now)
 }
 
-// tickHold asks the peers while a first version is held back, and enforces it
-// at the end.
-func (m *Machine) tickHold(now time.Time) {
+// advanceHold asks the peers while a first version is held back, and activates the version
+// at the end of the hold.
+func (m *Machine) advanceHold(now time.Time) {
 	switch {
-	case m.first.Generation == 0:
+	case m.heldVersion.Generation == 0:
 	case !now.Before(m.holdEnd):
-		m.enforce(m.first, m.firstSource)
-	case !now.Before(m.holdAskAt):
-		m.holdAskAt = now.Add(holdAskEvery)
+		m.activate(m.heldVersion, m.heldSource)
+	case !now.Before(m.nextHoldAsk):
+		m.nextHoldAsk = now.Add(holdAskInterval)
 		m.emit(AskAllPeers{})
 	}
 }
 
-// nextHold is when tickHold has something to do; zero when nothing is held.
-func (m *Machine) nextHold() time.Time {
-	if m.first.Generation == 0 {
+// nextHoldTime returns when advanceHold must run next; zero if no version is held.
+func (m *Machine) nextHoldTime() time.Time {
+	if m.heldVersion.Generation == 0 {
 		return time.Time{}
 	}
-	if m.holdEnd.Before(m.holdAskAt) {
+	if m.holdEnd.Before(m.nextHoldAsk) {
 		return m.holdEnd
 	}
-	return m.holdAskAt
+	return m.nextHoldAsk
 }
 
-// refuse notes a version that is not a valid document, once per generation. A
-// peer's word is not proof of what the store holds, so it is reported only.
-func (m *Machine) refuse(v Version, source Source) {
-	if v.Generation <= m.refused.Generation {
+// rejectInvalid reports a version that is not a valid document, once per generation. A
+// version from a peer is only reported and not kept, because it does not prove what the
+// store holds.
+func (m *Machine) rejectInvalid(v Version, source Source) {
+	if v.Generation <= m.invalid.Generation {
 		return
 	}
 	if source != SourcePeer {
-		m.refused = v
+		m.invalid = v
 	}
 	m.emit(RejectVersion{v.Generation, source, v.InvalidReason})
 }
 
-// peerAhead asks a peer that has a newer generation, one peer at a time.
-func (m *Machine) peerAhead(e PeerGeneration, now time.Time) {
+// askNewerPeer asks a peer that has a newer generation for its document, one peer at a time.
+func (m *Machine) askNewerPeer(e PeerGeneration, now time.Time) {
 	if e.Generation <= m.current.Generation {
 		return
 	}
-	if e.Generation <= m.asked && now.Sub(m.askedAt) < askTimeout {
+	if e.Generation <= m.askedGeneration && now.Sub(m.askedAt) < peerAskTimeout {
 		return
 	}
-	m.asked = e.Generation
+	m.askedGeneration = e.Generation
 	m.askedAt = now
 	m.emit(AskPeer{Peer: e.Peer, Above: m.current.Generation})
 }
 
-// tick polls and moves unsettled saves along.
+// tick polls the store if due, and advances the hold and the unsettled saves.
 func (m *Machine) tick(now time.Time) {
-	if !m.pollAt.IsZero() && !now.Before(m.pollAt) {
-		m.read()
+	if !m.nextPoll.IsZero() && !now.Before(m.nextPoll) {
+		m.readStore()
 	}
-	m.tickHold(now)
-	m.tickSaves(now)
+	m.advanceHold(now)
+	m.advanceSaves(now)
 }
 
-// wake asks for the next tick.
-func (m *Machine) wake(now time.Time) {
-	at := m.nextSave()
-	if !m.reading && !m.pollAt.IsZero() && (at.IsZero() || m.pollAt.Before(at)) {
-		at = m.pollAt
+// scheduleWake requests the next tick, if any is needed.
+func (m *Machine) scheduleWake(now time.Time) {
+	at := m.nextSaveTime()
+	if !m.readInFlight && !m.nextPoll.IsZero() && (at.IsZero() || m.nextPoll.Before(at)) {
+		at = m.nextPoll
 	}
-	if hold := m.nextHold(); !hold.IsZero() && (at.IsZero() || hold.Before(at)) {
+	if hold := m.nextHoldTime(); !hold.IsZero() && (at.IsZero() || hold.Before(at)) {
 		at = hold
 	}
 	if at.IsZero() {
--- a/kernel/rollout/main_test.go
+++ b/kernel/rollout/main_test.go
@@ -6,14 +6,14 @@
 	"testing"
 )
 
-// set gives a flag of the property tests a value.
+// set sets a flag of the property tests.
 func set(name, value string) {
 	if err := flag.Set(name, value); err != nil {
 		panic(err)
 	}
 }
 
-// TestMain fixes the seed of the property tests, except in long runs.
+// TestMain fixes the seed of the property tests unless FUCHSIAROAD_LONG is set.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	set("rapid.steps", "150")
--- a/kernel/rollout/messages.go
+++ b/kernel/rollout/messages.go
@@ -1,8 +1,8 @@
-// Package rollout is the state machine that spreads the configuration to one
-// instance and saves new versions of it. The configuration is one object of
-// the platform's store; its version is the generation. The machine holds the
-// highest generation it has seen and never takes a lower one, whatever a stale
-// read, a late watch or a restarted peer says.
+// Package rollout is the state machine that rolls out the configuration at one
+// instance and saves new versions of it. The configuration is one object of the
+// platform's store, and its version is the object's generation. The machine keeps
+// the highest generation it has seen and never goes back to a lower one, whatever a
+// stale read, a delayed watch event or a restarted peer returns.
 package rollout
 
 import (
@@ -16,17 +16,17 @@
 	Generation uint64
 	// Value is the stored object: the save history and the TOML text.
 	Value []byte
-	// Hash and Document are set when the value is valid.
+	// Hash and Document are set if the value is a valid document.
 	Hash     string
 	Document *document.Document
-	// InvalidReason says why the value is not a valid document; empty when it is.
+	// InvalidReason tells why the value is not a valid document; empty if it is valid.
 	InvalidReason string
 }
 
-// Source says where a version was seen.
+// Source tells where a version came from.
 type Source string
 
-// The sources of versions.
+// Sources of versions.
 const (
 	SourceStore Source = "store"
 	SourceWatch Source = "watch"
@@ -34,38 +34,38 @@
 	SourceSave  Source = "save"
 )
 
-// SaveID names a submission within the instance.
+// SaveID identifies a submission within the instance.
 type SaveID uint64
 
 // Event is an input of the machine.
 type Event interface{ isEvent() }
 
-// Start begins the search for a document.
+// Start is the first event. It starts the search for a document.
 type Start struct{}
 
-// VersionSeen gives a version that a read, a watch or a peer returned.
+// VersionSeen delivers a version that a read, a watch or a peer returned.
 type VersionSeen struct {
 	Version Version
 	Source  Source
 	Peer    string // the peer's instance ID, for SourcePeer
 }
 
-// StoreEmpty says that a read found no object. The store may be behind.
+// StoreEmpty tells that a read found no object. The read may be stale.
 type StoreEmpty struct{}
 
-// StoreFailed says that a read got no answer.
+// StoreFailed tells that a read got no answer.
 type StoreFailed struct{}
 
-// PeerGeneration tells a peer's generation in force, from its digest.
+// PeerGeneration tells the generation in force at a peer, from its gossip digest.
 type PeerGeneration struct {
 	Peer       string
 	Generation uint64
 }
 
-// PeerFailed says that a peer did not give its document.
+// PeerFailed tells that a peer did not return its document.
 type PeerFailed struct{ Peer string }
 
-// Submit asks to save a validated document over the version that its form was
+// Submit requests to save a validated document over the version that its form was
 // opened with. Nonce is unique to the submission and unguessable.
 type Submit struct {
 	ID        SaveID
@@ -76,28 +76,28 @@
 	IfVersion uint64
 }
 
-// PutDone says that the conditional update took effect.
+// PutDone tells that the conditional update took effect.
 type PutDone struct {
 	ID         SaveID
 	Generation uint64
 }
 
-// PutConflict says that the object had another version than the one named.
-// An earlier try of the same save may be what changed it.
+// PutConflict tells that the object had another version than the expected one. An
+// earlier attempt of the same save may have changed it.
 type PutConflict struct{ ID SaveID }
 
-// PutUnknown says that the reply was lost: the update may have taken effect,
-// or may still take effect.
+// PutUnknown tells that the reply was lost: the update may have taken effect, or may
+// still do so.
 type PutUnknown struct{ ID SaveID }
 
-// PutRefused says that the store provably did not take the update.
+// PutRefused tells that the store has certainly not applied the update.
 type PutRefused struct {
 	ID         SaveID
 	Reason     string
 	RetryAfter time.Duration
 }
 
-// Tick says that a time asked for by WakeAt has passed.
+// Tick tells that a time requested by WakeAt has passed.
 type Tick struct{}
 
 func (Start) isEvent()          {}
@@ -116,22 +116,22 @@
 // Action is an output of the machine.
 type Action interface{ isAction() }
 
-// ReadStore reads the object. The runtime answers each with exactly one Seen,
+// ReadStore reads the object. The runtime answers each with exactly one VersionSeen,
 // StoreEmpty or StoreFailed.
 type ReadStore struct{}
 
-// AskPeer asks a peer for its document, if newer than Above. The runtime
-// answers with Seen or PeerFailed.
+// AskPeer requests a peer's document if its generation is above Above. The runtime
+// answers with VersionSeen or PeerFailed.
 type AskPeer struct {
 	Peer  string
 	Above uint64
 }
 
-// AskAllPeers asks every known peer for its document.
+// AskAllPeers requests the document of every known peer.
 type AskAllPeers struct{}
 
-// PutStore writes the object on condition of its version; 0 creates it. The
-// runtime answers with exactly one Put event and does not repeat the write.
+// PutStore writes the object if its version is IfVersion; 0 creates the object. The
+// runtime answers with exactly one Put event and does not retry the write.
 type PutStore struct {
 	ID        SaveID
 	IfVersion uint64
@@ -144,26 +144,26 @@
 	Source  Source
 }
 
-// AnnounceGeneration tells peers of the generation in force at once. All is set at the
-// instance that saved.
+// AnnounceGeneration sends the generation in force to peers at once. All is true at
+// the instance that saved it.
 type AnnounceGeneration struct{ All bool }
 
-// RejectVersion reports a version that is not a valid document, or that contradicts
-// the one in force at the same generation. The one in force stays.
+// RejectVersion reports a version that is not a valid document, or that differs from
+// the one in force at the same generation. The version in force stays.
 type RejectVersion struct {
 	Generation uint64
 	Source     Source
 	Reason     string
 }
 
-// ResolveSave gives the outcome of a submission. It comes once with a final
-// outcome; an Unknown may come before it.
+// ResolveSave delivers the outcome of a submission. It comes once with a final
+// outcome; one with the state Unknown may come before it.
 type ResolveSave struct {
 	ID      SaveID
 	Outcome Outcome
 }
 
-// WakeAt asks for a Tick at or after At; it replaces an earlier wish.
+// WakeAt requests a Tick at or after At. It replaces an earlier request.
 type WakeAt struct{ At time.Time }
 
 func (ReadStore) isAction()          {}
@@ -176,25 +176,25 @@
 func (ResolveSave) isAction()        {}
 func (WakeAt) isAction()             {}
 
-// State is the truthful class of a submission's outcome.
+// State tells what is known for certain about the effect of a submission.
 type State string
 
-// The states of a submission.
+// States of a submission.
 const (
-	Accepted State = "accepted" // the store holds it, or held it
-	Conflict State = "conflict" // another version took its place: it has no effect
-	Refused  State = "refused"  // the store did not take it
-	Unknown  State = "unknown"  // the reply was lost and nothing read since settles it
+	Accepted State = "accepted" // the store applied the submission
+	Conflict State = "conflict" // another submission replaced the base version: this one has no effect
+	Refused  State = "refused"  // the store did not apply the submission
+	Unknown  State = "unknown"  // the reply was lost and no later read shows whether the submission took effect
 )
 
-// Outcome is what the submitter learns.
+// Outcome is the result of a submission.
 type Outcome struct {
 	State State
-	// Generation is the submission's own, when accepted.
+	// Generation is that of the submission, if accepted.
 	Generation uint64
-	// Current is the version that the submission lost against, in a conflict.
+	// Current is the version that the submission lost against, if in conflict.
 	Current *Version
 	Reason  string
-	// RetryAfter is the store's hint of when to come back, when refused.
+	// RetryAfter is the retry delay that the store suggested, if refused.
 	RetryAfter time.Duration
 }
--- a/kernel/rollout/save.go
+++ b/kernel/rollout/save.go
@@ -5,222 +5,225 @@
 	"time"
 )
 
-// Times of a submission.
+// Timeouts and intervals of a submission.
 const (
-	// SubmitTimeout is how long a submitter waits before it gets "unknown".
+	// SubmitTimeout is how long a submitter waits before it gets the state Unknown.
 	SubmitTimeout = 8 * time.Second
-	// settleFor is how long an unknown submission is watched for.
-	settleFor = 10 * time.Minute
-	// settleEvery is the time between reads that try to settle a submission
-	// while its submitter waits, and settleSlowly the time afterwards.
-	settleEvery  = 200 * time.Millisecond
-	settleSlowly = 2 * time.Second
+	// settleTimeout is how long the machine tries to settle a submission of unknown effect.
+	settleTimeout = 10 * time.Minute
+	// settleInterval is the time between reads that try to settle a submission while its
+	// submitter waits, and slowSettleInterval the time between reads after that.
+	settleInterval     = 200 * time.Millisecond
+	slowSettleInterval = 2 * time.Second
 )
 
-// save is one submission in progress.
+// save is a submission that is not settled.
 type save struct {
-	id       SaveID
-	link     SaveRecord
-	version  Version // Generation is set when it is known
-	putting  bool
-	lost     bool // the reply of a try was lost
-	beaten   bool // the store named a conflict at the only try
-	answered bool // the submitter was answered "unknown"
-	waitEnd  time.Time
-	dropAt   time.Time
-	tryAt    time.Time
-}
-
-// submit starts a save. A form opened on a version below the one in force has
-// lost already.
+	id              SaveID
+	record          SaveRecord
+	version         Version // the document to save; Generation is 0 until the save is accepted
+	putInFlight     bool
+	replyLost       bool // the reply to an attempt was lost
+	conflicted      bool // the store reported a conflict at the only attempt
+	unknownReported bool // the submitter got the state Unknown
+	submitDeadline  time.Time
+	settleDeadline  time.Time
+	nextRead        time.Time
+}
+
+// submit starts a save. If the form was opened on a version below the one in force, the
+// submission is a conflict already.
 func (m *Machine) submit(e Submit, now time.Time) {
 	if e.IfVersion < m.current.Generation {
-		m.emit(ResolveSave{e.ID, Outcome{State: Conflict, Current: m.newest(m.current)}})
+		m.emit(ResolveSave{e.ID, Outcome{State: Conflict, Current: m.newerThanActive(m.current)}})
 		return
 	}
 	s := &save{
-		id:      e.ID,
-		link:    SaveRecord{Nonce: e.Nonce, Base: e.IfVersion},
-		version: Version{Hash: e.Hash, Document: e.Document},
-		waitEnd: now.Add(SubmitTimeout),
-		dropAt:  now.Add(settleFor),
+		id:             e.ID,
+		record:         SaveRecord{Nonce: e.Nonce, Base: e.IfVersion},
+		version:        Version{Hash: e.Hash, Document: e.Document},
+		submitDeadline: now.Add(SubmitTimeout),
+		settleDeadline: now.Add(settleTimeout),
 	}
-	s.version.Value = EncodeValue(s.link, m.historyAt(e.IfVersion), e.TOML)
+	s.version.Value = EncodeValue(s.record, m.historyAt(e.IfVersion), e.TOML)
 	m.saves[e.ID] = s
-	m.put(s)
+	m.startPut(s)
 }
 
-// historyAt is the history of the version at a generation, when it is at hand.
+// historyAt returns the history of the version at a generation if the machine has that
+// version, otherwise nil.
 func (m *Machine) historyAt(generation uint64) []SaveRecord {
 	switch generation {
 	case m.current.Generation:
 		return ParseHistory(m.current.Value)
-	case m.refused.Generation:
-		return ParseHistory(m.refused.Value)
+	case m.invalid.Generation:
+		return ParseHistory(m.invalid.Value)
 	}
 	return nil
 }
 
-// put writes the save. It is safe to repeat: the update is conditional on the
-// version it replaces, so that one try at most can take effect.
-func (m *Machine) put(s *save) {
-	s.putting = true
-	m.emit(PutStore{ID: s.id, IfVersion: s.link.Base, Value: s.version.Value})
+// startPut writes the save. A retry is safe, because the update is conditional on the
+// version that it replaces, so that at most one attempt takes effect.
+func (m *Machine) startPut(s *save) {
+	s.putInFlight = true
+	m.emit(PutStore{ID: s.id, IfVersion: s.record.Base, Value: s.version.Value})
 }
 
-// putDone puts an accepted save in force and pushes it.
-func (m *Machine) putDone(e PutDone) {
+// acceptSave activates and announces a save that took effect, and resolves it.
+func (m *Machine) acceptSave(e PutDone) {
 	s, ok := m.saves[e.ID]
 	if !ok {
 		return
 	}
 	s.version.Generation = e.Generation
 	m.consider(s.version, SourceSave, time.Time{})
-	m.finish(s, Outcome{State: Accepted, Generation: e.Generation})
+	m.resolveSave(s, Outcome{State: Accepted, Generation: e.Generation})
 }
 
-// putRefused ends a save that provably had no effect. After a try whose reply
-// was lost it proves nothing of that earlier try.
-func (m *Machine) putRefused(e PutRefused) {
+// refuseSave resolves a save as refused if it certainly had no effect. A refusal proves
+// nothing about an earlier attempt whose reply was lost.
+func (m *Machine) refuseSave(e PutRefused) {
 	s, ok := m.saves[e.ID]
 	if !ok {
 		return
 	}
-	s.putting = false
-	if !s.lost {
-		m.finish(s, Outcome{State: Refused, Reason: e.Reason, RetryAfter: e.RetryAfter})
+	s.putInFlight = false
+	if !s.replyLost {
+		m.resolveSave(s, Outcome{State: Refused, Reason: e.Reason, RetryAfter: e.RetryAfter})
 	}
 }
 
-// putEnded reads the object back to learn what became of a save whose try
-// ended without a plain yes. A conflict at the only try is proof that the save
-// lost; the read then shows against what.
-func (m *Machine) putEnded(id SaveID, conflict bool, now time.Time) {
+// readBack reads the object after an attempt whose effect is not known, to learn what
+// became of the save. A conflict at the only attempt proves that the save lost; the read
+// then returns the version it lost against.
+func (m *Machine) readBack(id SaveID, conflict bool, now time.Time) {
 	s, ok := m.saves[id]
 	if !ok {
 		return
 	}
-	s.putting = false
-	s.beaten = conflict && !s.lost
-	s.lost = s.lost || !conflict
-	s.tryAt = now.Add(settleEvery)
-	m.read()
+	s.putInFlight = false
+	s.conflicted = conflict && !s.replyLost
+	s.replyLost = s.replyLost || !conflict
+	s.nextRead = now.Add(settleInterval)
+	m.readStore()
 }
 
-// settle compares a seen version with every unsettled save.
+// settle compares a seen version with every unsettled save. The read parameter is true
+// if the version comes from a read of the store.
 func (m *Machine) settle(v Version, read bool) {
-	for _, s := range m.ordered() {
-		switch fate(v.Value, s.link) {
+	for _, s := range m.sortedSaves() {
+		switch stateInHistory(v.Value, s.record) {
 		case Accepted:
-			m.finish(s, Outcome{State: Accepted, Generation: m.generationOf(v, s)})
+			m.resolveSave(s, Outcome{State: Accepted, Generation: m.savedGeneration(v, s)})
 		case Conflict:
-			m.finish(s, Outcome{State: Conflict, Current: m.newest(v)})
+			m.resolveSave(s, Outcome{State: Conflict, Current: m.newerThanActive(v)})
 		case Unknown:
-			m.unsettled(s, v, read)
+			m.handleUnsettled(s, v, read)
 		}
 	}
 }
 
-// newest is the newer of a seen version and the one in force: what the loser of
-// a race compares its own document with.
-func (m *Machine) newest(v Version) *Version {
+// newerThanActive returns the newer one of a seen version and the version in force, for
+// the submitter of a conflicting save to compare with its own document.
+func (m *Machine) newerThanActive(v Version) *Version {
 	if v.Generation <= m.current.Generation {
 		v = m.current
 	}
 	return &v
 }
 
-// generationOf is the generation of a save found in the version's history: the
-// version that the next save replaced, or the version itself if it is newest.
-func (m *Machine) generationOf(v Version, s *save) uint64 {
+// savedGeneration returns the generation of a save whose record is in the version's
+// history: the version that the next save replaced, or the version itself if the record
+// is the newest.
+func (m *Machine) savedGeneration(v Version, s *save) uint64 {
 	generation := v.Generation
-	for _, l := range ParseHistory(v.Value) {
-		if l == s.link {
+	for _, r := range ParseHistory(v.Value) {
+		if r == s.record {
 			break
 		}
-		generation = l.Base
+		generation = r.Base
 	}
 	return generation
 }
 
-// unsettled handles a save of which the version tells nothing. One that is
-// known to be beaten has met what it lost against. One whose reply was lost
-// and that a read did not find is tried again while the submitter waits;
-// afterwards it is only watched for.
-func (m *Machine) unsettled(s *save, v Version, read bool) {
-	behind := v.Generation <= s.link.Base
+// handleUnsettled handles a save whose record is not in the version's history. If the
+// save is known to conflict, a newer version is what it lost against. If its reply was
+// lost and a read did not find it, it is written again while the submitter waits; after
+// that the machine only reads.
+func (m *Machine) handleUnsettled(s *save, v Version, read bool) {
+	behind := v.Generation <= s.record.Base
 	switch {
-	case s.beaten && !behind:
-		m.finish(s, Outcome{State: Conflict, Current: m.newest(v)})
-	case read && behind && s.lost && !s.putting && !s.answered:
-		m.put(s)
+	case s.conflicted && !behind:
+		m.resolveSave(s, Outcome{State: Conflict, Current: m.newerThanActive(v)})
+	case read && behind && s.replyLost && !s.putInFlight && !s.unknownReported:
+		m.startPut(s)
 	}
 }
 
-// finish gives the final outcome.
-func (m *Machine) finish(s *save, o Outcome) {
+// resolveSave delivers the final outcome of a save and forgets it.
+func (m *Machine) resolveSave(s *save, o Outcome) {
 	delete(m.saves, s.id)
 	m.emit(ResolveSave{s.id, o})
 }
 
-// tickSaves reads again for unsettled saves, tells submitters who waited long
-// enough, and drops what can't be settled any more.
-func (m *Machine) tickSaves(now time.Time) {
-	for _, s := range m.ordered() {
-		if !now.Before(s.dropAt) {
+// advanceSaves reads again for unsettled saves, answers submitters whose wait has timed
+// out, and drops the saves that could not be settled in time.
+func (m *Machine) advanceSaves(now time.Time) {
+	for _, s := range m.sortedSaves() {
+		if !now.Before(s.settleDeadline) {
 			delete(m.saves, s.id)
 			continue
 		}
-		if !s.answered && !now.Before(s.waitEnd) {
-			m.waited(s)
+		if !s.unknownReported && !now.Before(s.submitDeadline) {
+			m.reportTimeout(s)
 		}
-		if !s.putting && !s.tryAt.IsZero() && !now.Before(s.tryAt) {
-			s.tryAt = now.Add(s.readEvery())
-			m.read()
+		if !s.putInFlight && !s.nextRead.IsZero() && !now.Before(s.nextRead) {
+			s.nextRead = now.Add(s.readInterval())
+			m.readStore()
 		}
 	}
 }
 
-// readEvery is the time between reads for a save.
-func (s *save) readEvery() time.Duration {
-	if s.answered {
-		return settleSlowly
+// readInterval returns the time between reads for the save.
+func (s *save) readInterval() time.Duration {
+	if s.unknownReported {
+		return slowSettleInterval
 	}
-	return settleEvery
+	return settleInterval
 }
 
-// waited tells a submitter who waited long enough what is known.
-func (m *Machine) waited(s *save) {
-	if s.beaten {
-		m.finish(s, Outcome{State: Conflict, Reason: "the newer version can't be read yet"})
+// reportTimeout answers a submitter whose wait has timed out.
+func (m *Machine) reportTimeout(s *save) {
+	if s.conflicted {
+		m.resolveSave(s, Outcome{State: Conflict, Reason: "the newer version can't be read yet"})
 		return
 	}
-	s.answered = true
+	s.unknownReported = true
 	m.emit(ResolveSave{s.id, Outcome{State: Unknown, Reason: "the store's reply was lost and it can't be read back yet"}})
 }
 
-// nextSave is the time at which a save needs a tick; zero when none does.
-func (m *Machine) nextSave() time.Time {
+// nextSaveTime returns when a save needs a tick next; zero if none does.
+func (m *Machine) nextSaveTime() time.Time {
 	var next time.Time
-	earliest := func(t time.Time) {
+	consider := func(t time.Time) {
 		if !t.IsZero() && (next.IsZero() || t.Before(next)) {
 			next = t
 		}
 	}
 	for _, s := range m.saves {
-		earliest(s.dropAt)
-		if !s.answered {
-			earliest(s.waitEnd)
+		consider(s.settleDeadline)
+		if !s.unknownReported {
+			consider(s.submitDeadline)
 		}
-		if !s.putting {
-			earliest(s.tryAt)
+		if !s.putInFlight {
+			consider(s.nextRead)
 		}
 	}
 	return next
 }
 
-// ordered returns the saves by ID, so that runs repeat.
-func (m *Machine) ordered() []*save {
+// sortedSaves returns the saves ordered by ID, so that runs are deterministic.
+func (m *Machine) sortedSaves() []*save {
 	out := make([]*save, 0, len(m.saves))
 	for _, s := range m.saves {
 		out = append(out, s)
