--- a/entry/executor/arrivals.go
+++ b/entry/executor/arrivals.go
@@ -30,7 +30,7 @@
 // arrived counts a request at a shard. It is counted by the instance that asks the
 // shard's leaves, which may repeat it.
 func (a *arrivals) arrived(up *view.Upstream, shard int, now time.Time) {
-	if up.Config.Repeats == nil || shard < 0 || shard >= len(up.Shards) {
+	if up.Config.RepeatLimit == nil || shard < 0 || shard >= len(up.Shards) {
 		return
 	}
 	a.mu.Lock()
@@ -40,8 +40,8 @@
 
 // take spends one repeat at a shard, if it fits. Without a bound it always does.
 func (a *arrivals) take(up *view.Upstream, shard int, now time.Time) bool {
-	if up.Config.Repeats == nil || shard < 0 || shard >= len(up.Shards) {
-		return up.Config.Repeats == nil
+	if up.Config.RepeatLimit == nil || shard < 0 || shard >= len(up.Shards) {
+		return up.Config.RepeatLimit == nil
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -68,7 +68,7 @@
 // window returns the window of a shard with this instance's part of the limit.
 // The lock is held.
 func (a *arrivals) window(up *view.Upstream, shard int) *kernelrepetition.Window {
-	limit := up.Config.Repeats
+	limit := up.Config.RepeatLimit
 	part := kernelrepetition.Limit{
 		Ratio: limit.Ratio, Slack: limit.Slack * a.slack(len(up.Shards)), Span: limit.Window,
 	}
--- a/kernel/catalog/build.go
+++ b/kernel/catalog/build.go
@@ -166,7 +166,7 @@
 	repeats := c.settings.RepeatLimit
 	out := document.Upstream{
 		Name: u.name, KeySpace: uint64(len(u.services)), ConnectionLimit: u.connectionLimit,
-		DialCost: c.settings.DialCost, Repeats: &repeats,
+		DialCost: c.settings.DialCost, RepeatLimit: &repeats,
 	}
 	for i, service := range u.services {
 		out.Shards = append(out.Shards, document.Shard{
--- a/kernel/document/document.go
+++ b/kernel/document/document.go
@@ -31,9 +31,9 @@
 	Slots int
 	// DialCost is the usual time of a new connection.
 	DialCost time.Duration
-	// Repeats bounds the arrivals beyond the first of each request at one shard;
+	// RepeatLimit bounds the arrivals beyond the first of each request at one shard;
 	// nil sets no bound.
-	Repeats *RepeatLimit
+	RepeatLimit *RepeatLimit
 	Shards  []Shard
 }
 
