--- a/entry/control/control_test.go
+++ b/entry/control/control_test.go
@@ -197,8 +197,8 @@
 		time.Sleep(3 * time.Second)
 		for _, e := range f.entries {
 			for _, l := range e.control.Load().View().Leaves {
-				if l.Leaving != (l.ID == leaf) {
-					t.Errorf("%s: leaf %s leaving: %v", e.id, l.ID, l.Leaving)
+				if l.Draining != (l.ID == leaf) {
+					t.Errorf("%s: leaf %s leaving: %v", e.id, l.ID, l.Draining)
 				}
 			}
 		}
--- a/entry/executor/pool.go
+++ b/entry/executor/pool.go
@@ -62,7 +62,7 @@
 		return
 	}
 	p.handle(func() dispatch.Event {
-		upstream := v.UpstreamByName(p.name)
+		upstream := v.UpstreamIndex(p.name)
 		if v.Sequence <= p.view.Sequence || upstream == view.NoUpstream {
 			return nil
 		}
@@ -116,7 +116,7 @@
 		if leaf == view.NoLeaf {
 			continue
 		}
-		i := p.view.Upstreams[p.upstream].Leaf(from.Leaves[leaf].ID)
+		i := p.view.Upstreams[p.upstream].LeafIndex(from.Leaves[leaf].ID)
 		if i != view.NoLeaf {
 			out = append(out, i)
 		}
@@ -148,7 +148,7 @@
 	p.handle(func() dispatch.Event {
 		delete(p.attempts, a.ticket)
 		return dispatch.Finished{
-			Ticket: a.ticket, Leaf: p.view.Upstreams[p.upstream].Leaf(a.leafID),
+			Ticket: a.ticket, Leaf: p.view.Upstreams[p.upstream].LeafIndex(a.leafID),
 			Outcome: outcome, Latency: time.Since(a.started), Service: service,
 		}
 	})
--- a/entry/executor/run.go
+++ b/entry/executor/run.go
@@ -250,5 +250,5 @@
 
 // leafIndex is the index of a leaf in the attempt's view.
 func (a *attempt) leafIndex(id string) int {
-	return a.view.Upstreams[a.offer.Part.Upstream].Leaf(id)
+	return a.view.Upstreams[a.offer.Part.Upstream].LeafIndex(id)
 }
--- a/entry/gateway/gateway.go
+++ b/entry/gateway/gateway.go
@@ -151,7 +151,7 @@
 	if rt == nil {
 		return nil, g.noRoute()
 	}
-	name, ok := route.Pick(rt, rand.Float64())
+	name, ok := route.PickTarget(rt, rand.Float64())
 	if !ok {
 		return nil, unavailable("the route leads nowhere")
 	}
--- a/entry/hosted/control.go
+++ b/entry/hosted/control.go
@@ -262,7 +262,7 @@
 		return
 	}
 	c.sequence++
-	v := view.BuildNext(c.node.View(), c.catalog.Version(), "", c.catalog.Document(), c.catalog.Draining, c.connections)
+	v := view.BuildReusing(c.node.View(), c.catalog.Version(), "", c.catalog.Document(), c.catalog.Draining, c.connections)
 	v.Sequence = c.sequence
 	c.node.publish(v, c.catalog.Limits())
 }
--- a/entry/node/status.go
+++ b/entry/node/status.go
@@ -62,7 +62,7 @@
 			sinceReply = time.Since(at).Milliseconds()
 		}
 		s.Leaves = append(s.Leaves, LeafStatus{
-			ID: leaf.ID, Upstream: v.Upstreams[leaf.Upstream].Name, Leaving: leaf.Leaving,
+			ID: leaf.ID, Upstream: v.Upstreams[leaf.Upstream].Name, Leaving: leaf.Draining,
 			Connections: stats.Used, Share: stats.Limit, Dials: stats.Dials, HeardMS: sinceReply,
 		})
 	}
--- a/entry/probe/probe.go
+++ b/entry/probe/probe.go
@@ -97,7 +97,7 @@
 			continue
 		}
 		target := TargetOf(v, leaf)
-		if leaf.Leaving {
+		if leaf.Draining {
 			if now.Sub(p.asked[leaf.ID]) >= leavingEvery {
 				p.asked[leaf.ID] = now
 				g.Go(func() error { p.ask(ctx, target, p.health, 1); return nil })
--- a/entry/server/query.go
+++ b/entry/server/query.go
@@ -103,7 +103,7 @@
 	if rt == nil {
 		return nil, none
 	}
-	name, ok := route.Pick(rt, rand.Float64())
+	name, ok := route.PickTarget(rt, rand.Float64())
 	if !ok {
 		return nil, none // a document without a weight above 0 is not taken
 	}
--- a/kernel/dispatch/away_test.go
+++ b/kernel/dispatch/away_test.go
@@ -35,8 +35,8 @@
 	got := m.Away(start)
 	// Shard 1 has its first leaf elsewhere, that of shard 3 in the own zone leaves.
 	want := []Away{
-		{Shard: 1, Leaves: []int{v.Upstreams[0].Leaf("l1-0")}},
-		{Shard: 3, Leaves: []int{v.Upstreams[0].Leaf("l3-1")}},
+		{Shard: 1, Leaves: []int{v.Upstreams[0].LeafIndex("l1-0")}},
+		{Shard: 3, Leaves: []int{v.Upstreams[0].LeafIndex("l3-1")}},
 	}
 	same := slices.EqualFunc(got, want, func(a, b Away) bool { return a.Shard == b.Shard && slices.Equal(a.Leaves, b.Leaves) })
 	if !same {
--- a/kernel/dispatch/change.go
+++ b/kernel/dispatch/change.go
@@ -114,7 +114,7 @@
 	}
 	l.index = index
 	l.local = in.Zone == m.zone
-	l.leaving = in.Leaving
+	l.leaving = in.Draining
 	l.share = in.Connections
 	l.limit.SetShare(in.Connections)
 	m.byIndex[index] = l
--- a/kernel/dispatch/machine_test.go
+++ b/kernel/dispatch/machine_test.go
@@ -386,7 +386,7 @@
 	m := newTestMachine(t, v)
 	m.Handle(offered(1), start)
 	v2 := testView(1, 2, 1, 1, 1)
-	v2.Leaves[0].Leaving, v2.Leaves[1].Leaving = true, true
+	v2.Leaves[0].Draining, v2.Leaves[1].Draining = true, true
 	m.Handle(offered(2), start)
 	m.Handle(offered(3), start) // waits
 	wantRefused(t, m.Handle(ViewChanged{View: v2}, start), query.ReasonNoLeaf)
--- a/kernel/dispatch/property_test.go
+++ b/kernel/dispatch/property_test.go
@@ -53,7 +53,7 @@
 	if c.inFlight[a.Leaf] > leaf.Connections {
 		c.t.Fatalf("%d in flight on leaf %d, share %d", c.inFlight[a.Leaf], a.Leaf, leaf.Connections)
 	}
-	if leaf.Leaving {
+	if leaf.Draining {
 		c.t.Fatalf("dispatch to the leaving leaf %d", a.Leaf)
 	}
 	if !o.Deadline.After(c.now) {
@@ -144,7 +144,7 @@
 				next := *v
 				next.Leaves = append([]view.Leaf(nil), v.Leaves...)
 				i := rapid.IntRange(0, len(next.Leaves)-1).Draw(t, "leaf")
-				next.Leaves[i].Leaving = !next.Leaves[i].Leaving
+				next.Leaves[i].Draining = !next.Leaves[i].Draining
 				next.Leaves[i].Connections = rapid.IntRange(0, 3).Draw(t, "share")
 				v, c.v = &next, &next
 				c.take(m.Handle(ViewChanged{View: v}, c.now))
--- a/kernel/query/gate.go
+++ b/kernel/query/gate.go
@@ -204,7 +204,7 @@
 	}
 	for k := range n {
 		leaf := leaves[(start+k)%n]
-		if !m.view.Leaves[leaf].Leaving && !m.lacks(leaf) && !slices.Contains(p.tried, leaf) {
+		if !m.view.Leaves[leaf].Draining && !m.lacks(leaf) && !slices.Contains(p.tried, leaf) {
 			return leaf
 		}
 	}
--- a/kernel/query/part.go
+++ b/kernel/query/part.go
@@ -204,7 +204,7 @@
 func (m *Machine) hasOther(p *part) bool {
 	for _, leaf := range m.leaves(p) {
 		passed := m.version != 0 && m.cfg.Versions.Passed(leaf, m.version)
-		if !passed && !m.view.Leaves[leaf].Leaving && !slices.Contains(p.tried, leaf) {
+		if !passed && !m.view.Leaves[leaf].Draining && !slices.Contains(p.tried, leaf) {
 			return true
 		}
 	}
--- a/kernel/query/replan.go
+++ b/kernel/query/replan.go
@@ -130,7 +130,7 @@
 	old := m.view
 	for i := range m.spaces {
 		m.spaces[i].order = nil
-		m.spaces[i].now = v.UpstreamByName(m.cfg.View.Upstreams[m.spaces[i].first].Name)
+		m.spaces[i].now = v.UpstreamIndex(m.cfg.View.Upstreams[m.spaces[i].first].Name)
 	}
 	m.view = v
 	for i := range len(m.parts) {
@@ -180,5 +180,5 @@
 	if leaf < 0 || leaf >= len(from.Leaves) || upstream == noUpstream {
 		return noLeaf
 	}
-	return to.Upstreams[upstream].Leaf(from.Leaves[leaf].ID)
+	return to.Upstreams[upstream].LeafIndex(from.Leaves[leaf].ID)
 }
--- a/kernel/query/world_test.go
+++ b/kernel/query/world_test.go
@@ -296,7 +296,7 @@
 
 // named is a leaf of the current view by the view of an attempt's offer.
 func (w *world) named(a *tried, leaf int) int {
-	return a.view.Upstreams[a.offer.Part.Upstream].Leaf(w.view.Leaves[leaf].ID)
+	return a.view.Upstreams[a.offer.Part.Upstream].LeafIndex(w.view.Leaves[leaf].ID)
 }
 
 // allowed lists the leaves that dispatch might choose for an offer, whose shard
--- a/kernel/route/route.go
+++ b/kernel/route/route.go
@@ -55,9 +55,9 @@
 	return strings.ToLower(host)
 }
 
-// Pick chooses a target of the route by weight: at is in [0, 1). A route whose
+// PickTarget chooses a target of the route by weight: at is in [0, 1). A route whose
 // weights are all zero gives none.
-func Pick(r *document.Route, at float64) (service string, ok bool) {
+func PickTarget(r *document.Route, at float64) (service string, ok bool) {
 	total := 0.0
 	for _, t := range r.Targets {
 		total += t.Weight
--- a/kernel/route/route_test.go
+++ b/kernel/route/route_test.go
@@ -42,7 +42,7 @@
 	counts := map[string]int{}
 	const n = 1000
 	for i := range n {
-		s, ok := Pick(r, float64(i)/n)
+		s, ok := PickTarget(r, float64(i)/n)
 		if !ok {
 			t.Fatal("no target")
 		}
@@ -51,7 +51,7 @@
 	if counts["a"] != 750 || counts["b"] != 250 {
 		t.Errorf("picked %v, want 750 of a and 250 of b", counts)
 	}
-	if _, ok := Pick(&document.Route{Targets: []document.RouteTarget{{Service: "a"}}}, 0); ok {
+	if _, ok := PickTarget(&document.Route{Targets: []document.RouteTarget{{Service: "a"}}}, 0); ok {
 		t.Error("a route without weights gave a target")
 	}
 }
--- a/kernel/snapshot/tracker.go
+++ b/kernel/snapshot/tracker.go
@@ -166,7 +166,7 @@
 
 // gain counts one more leaf that serves the version.
 func (t *Tracker) gain(leaf int, version uint64) {
-	if t.view.Leaves[leaf].Leaving {
+	if t.view.Leaves[leaf].Draining {
 		return
 	}
 	for _, p := range t.places[leaf] {
@@ -184,7 +184,7 @@
 
 // lose counts one leaf less that serves the version.
 func (t *Tracker) lose(leaf int, version uint64) {
-	if t.view.Leaves[leaf].Leaving {
+	if t.view.Leaves[leaf].Draining {
 		return
 	}
 	for _, p := range t.places[leaf] {
--- a/kernel/snapshot/tracker_test.go
+++ b/kernel/snapshot/tracker_test.go
@@ -47,7 +47,7 @@
 		for _, shard := range up.Shards {
 			serves := slices.ContainsFunc(shard.Leaves, func(l int) bool {
 				leaf := m.view.Leaves[l]
-				return !leaf.Leaving && slices.Contains(m.seen[leaf.ID], version)
+				return !leaf.Draining && slices.Contains(m.seen[leaf.ID], version)
 			})
 			if serves {
 				total += float64(shard.Range.Size()) / float64(up.KeySpace) / float64(len(s.Upstreams))
--- a/kernel/view/view.go
+++ b/kernel/view/view.go
@@ -39,8 +39,8 @@
 	leaves   map[string]int // leaf ID to index in View.Leaves
 }
 
-// Leaf returns the view's index of a leaf by its ID, or NoLeaf.
-func (u *Upstream) Leaf(id string) int {
+// LeafIndex returns the view's index of a leaf by its ID, or NoLeaf.
+func (u *Upstream) LeafIndex(id string) int {
 	if i, ok := u.leaves[id]; ok {
 		return i
 	}
@@ -64,8 +64,8 @@
 	Zone     string
 	Address  string
 	Upstream int
-	// Leaving is the OR of the list, the leaf's own mark and peers' digests.
-	Leaving bool
+	// Draining is the OR of the list, the leaf's own mark and peers' digests.
+	Draining bool
 	// Connections is this entry's share of the leaf's connection limit.
 	Connections int
 }
@@ -81,13 +81,13 @@
 // Build resolves a validated document. The leaving function says which leaves
 // get no new work; connections gives this entry's connection share of a leaf.
 func Build(gen uint64, hash string, doc *document.Document, leaving func(leafID string) bool, connections func(u *document.Upstream, leafID string) int) *View {
-	return BuildNext(nil, gen, hash, doc, leaving, connections)
+	return BuildReusing(nil, gen, hash, doc, leaving, connections)
 }
 
-// BuildNext is Build after another view, which may be nil. It shares the routes and services of
+// BuildReusing is Build after another view, which may be nil. It shares the routes and services of
 // that view where both documents have the same slices of them: a change of the leaves costs the
 // same among many routes.
-func BuildNext(before *View, gen uint64, hash string, doc *document.Document, leaving func(leafID string) bool, connections func(u *document.Upstream, leafID string) int) *View {
+func BuildReusing(before *View, gen uint64, hash string, doc *document.Document, leaving func(leafID string) bool, connections func(u *document.Upstream, leafID string) int) *View {
 	v := &View{
 		Generation: gen,
 		Hash:       hash,
@@ -121,7 +121,7 @@
 				seen[l.ID] = i
 				v.Leaves = append(v.Leaves, Leaf{
 					ID: l.ID, Name: l.Name, Zone: l.Zone, Address: l.Address, Upstream: index,
-					Leaving: leaving(l.ID), Connections: connections(u, l.ID),
+					Draining: leaving(l.ID), Connections: connections(u, l.ID),
 				})
 			}
 			shard.Leaves = append(shard.Leaves, i)
@@ -131,8 +131,8 @@
 	v.Upstreams = append(v.Upstreams, up)
 }
 
-// UpstreamByName returns the index of an upstream, or NoUpstream.
-func (v *View) UpstreamByName(name string) int {
+// UpstreamIndex returns the index of an upstream, or NoUpstream.
+func (v *View) UpstreamIndex(name string) int {
 	if i, ok := v.upstreams[name]; ok {
 		return i
 	}
