--- a/kernel/dispatch/cross_zone_test.go
+++ b/kernel/dispatch/cross_zone_test.go
@@ -37,8 +37,8 @@
 	// The first leaf of shard 1 is in another zone; that of shard 3 is in the own zone
 	// but leaving.
 	want := []CrossZoneShard{
-		{Shard: 1, Leaves: []int{v.Upstreams[0].Leaf("l1-0")}},
-		{Shard: 3, Leaves: []int{v.Upstreams[0].Leaf("l3-1")}},
+		{Shard: 1, Leaves: []int{v.Upstreams[0].LeafIndex("l1-0")}},
+		{Shard: 3, Leaves: []int{v.Upstreams[0].LeafIndex("l3-1")}},
 	}
 	same := slices.EqualFunc(got, want, func(a, b CrossZoneShard) bool { return a.Shard == b.Shard && slices.Equal(a.Leaves, b.Leaves) })
 	if !same {
--- a/kernel/query/part.go
+++ b/kernel/query/part.go
@@ -210,7 +210,7 @@
 func (m *Machine) hasUntriedLeaf(p *part) bool {
 	for _, leaf := range m.leavesOf(p) {
 		passed := m.version != 0 && m.cfg.Versions.Passed(leaf, m.version)
-		if !passed && !m.view.Leaves[leaf].Leaving && !slices.Contains(p.tried, leaf) {
+		if !passed && !m.view.Leaves[leaf].Draining && !slices.Contains(p.tried, leaf) {
 			return true
 		}
 	}
--- a/kernel/query/replan.go
+++ b/kernel/query/replan.go
@@ -135,7 +135,7 @@
 	old := m.view
 	for i := range m.spaces {
 		m.spaces[i].shardOrder = nil
-		m.spaces[i].currentUpstream = v.UpstreamByName(m.cfg.View.Upstreams[m.spaces[i].startUpstream].Name)
+		m.spaces[i].currentUpstream = v.UpstreamIndex(m.cfg.View.Upstreams[m.spaces[i].startUpstream].Name)
 	}
 	m.view = v
 	for i := range len(m.parts) {
@@ -188,5 +188,5 @@
 	if leaf < 0 || leaf >= len(from.Leaves) || upstream == noUpstream {
 		return noLeaf
 	}
-	return to.Upstreams[upstream].Leaf(from.Leaves[leaf].ID)
+	return to.Upstreams[upstream].LeafIndex(from.Leaves[leaf].ID)
 }
--- a/kernel/query/world_test.go
+++ b/kernel/query/world_test.go
@@ -300,7 +300,7 @@
 // leafInOfferView translates a leaf index of the current view to the view of an
 // attempt's offer.
 func (w *world) leafInOfferView(a *attemptRecord, leaf int) int {
-	return a.view.Upstreams[a.offer.Part.Upstream].Leaf(w.view.Leaves[leaf].ID)
+	return a.view.Upstreams[a.offer.Part.Upstream].LeafIndex(w.view.Leaves[leaf].ID)
 }
 
 // allowedLeaves lists the leaves that dispatch may choose for an offer. The offer's
