--- a/kernel/dispatch/config.go
+++ b/kernel/dispatch/config.go
@@ -36,7 +36,8 @@
 	// Zone is this instance's availability zone.
 	Zone     string
 	Policies Policies
-	// MaxQueued is the greatest number of queued attempts per shard; 0 sets no bound.
+	// MaxQueued is the greatest number of queued attempts per shard; 0 sets no bound
+	// other than their deadlines.
 	MaxQueued int
 	Seed      uint64
 }
