--- a/kernel/query/gate.go
+++ b/kernel/query/gate.go
@@ -42,8 +42,8 @@
 }
 
 // handleCleared opens the gate because another query has shown the request to be
-// safe. A probe that is still queued is withdrawn, since its part need not run alone
-// any more.
+// safe. A probe that is still queued is withdrawn, since its part need not run
+// alone then.
 func (m *Machine) handleCleared() {
 	if m.gate.open || m.spaces == nil {
 		m.gate.provedSafe = true
--- a/kernel/query/gate_test.go
+++ b/kernel/query/gate_test.go
@@ -87,7 +87,7 @@
 }
 
 // TestClearedOpensGateForQueuedCanary clears a request whose canary is queued: all parts
-// must be offered at once, and the canary's part no longer alone.
+// must be offered at once, and the part of the canary not alone.
 func TestClearedOpensGateForQueuedCanary(t *testing.T) {
 	w := newWorld(t, idempotent, equalShards("a", 4, 2))
 	cfg := w.config(&fixedBudget{})
--- a/kernel/query/group.go
+++ b/kernel/query/group.go
@@ -216,7 +216,7 @@
 }
 
 // splitGroup withdraws a group's attempt because the part with the index done needs no
-// attempt any more. This query asks the leaves for the other parts.
+// further attempt. This query asks the leaves for the other parts.
 func (m *Machine) splitGroup(id AttemptID, done int, now time.Time) {
 	a := *m.findAttempt(id)
 	m.withdrawAttempt(id)
--- a/kernel/query/machine.go
+++ b/kernel/query/machine.go
@@ -214,8 +214,8 @@
 	}
 }
 
-// isCoverageUnreachable reports whether the least coverage can't be reached any more
-// and nothing has run yet. The query is refused then at once, rather than answered
+// isCoverageUnreachable reports whether the least coverage is out of reach and
+// nothing has run yet. The query is refused then at once, rather than answered
 // later with too little coverage.
 func (m *Machine) isCoverageUnreachable() bool {
 	if m.cfg.OnlyShards != nil {
--- a/kernel/query/messages.go
+++ b/kernel/query/messages.go
@@ -87,7 +87,7 @@
 // Tick says that the time of a WakeAt has passed.
 type Tick struct{}
 
-// Cancel says that the caller does not wait for the answer any more.
+// Cancel says that the caller has gone away.
 type Cancel struct{}
 
 // ViewChanged gives a newer view. Later offers are planned by its shards and use its
--- a/kernel/query/part.go
+++ b/kernel/query/part.go
@@ -101,8 +101,8 @@
 	m.askWaiting()
 }
 
-// shards returns the shards of a space in the current view, or nil if the view has
-// no such upstream any more.
+// shards returns the shards of a space in the current view, or nil if the view lacks
+// the upstream.
 func (m *Machine) shards(space int) []view.Shard {
 	u := m.spaces[space].currentUpstream
 	if u == noUpstream {
--- a/kernel/query/reply.go
+++ b/kernel/query/reply.go
@@ -154,7 +154,7 @@
 }
 
 // defaultSettleShare is the fraction of the latency objective after which an answer
-// with the least coverage no longer waits for its missing parts. It applies until the
+// with the least coverage does not wait for its missing parts. It applies until the
 // runtime has measured how long an answer takes to reach the caller (SettleMargin).
 const defaultSettleShare = 0.8
 
