--- a/kernel/route/route.go
+++ b/kernel/route/route.go
@@ -1,5 +1,5 @@
-// Package route finds the route of a request by its host and path, and shares a
-// route's requests among its services by weight.
+// Package route matches a request to a route by host and path prefix, and distributes the
+// requests of a route over its services by weight.
 package route
 
 import (
@@ -8,14 +8,14 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/document"
 )
 
-// Table finds routes. It is immutable.
+// Table matches requests to routes. It is immutable.
 type Table struct {
-	// hosts holds the routes of a host by their prefix.
+	// hosts holds the routes by host in lower case, then by prefix.
 	hosts map[string]map[string]*document.Route
 }
 
-// NewTable makes the table of a document's routes. Of two routes of the same
-// host and prefix the later one counts.
+// NewTable returns the table of a document's routes. If two routes have the same host and
+// prefix, the later one is used.
 func NewTable(routes []document.Route) *Table {
 	t := &Table{hosts: make(map[string]map[string]*document.Route)}
 	counts := make(map[string]int)
@@ -31,14 +31,14 @@
 	return t
 }
 
-// Match returns the route of the host whose prefix is the longest that begins
-// the path, or nil. The host may carry a port; the path is the raw one.
+// Match returns the route of the host with the longest prefix of the path, or nil. The host
+// may include a port, and the path must be as received, without decoding.
 func (t *Table) Match(host, path string) *document.Route {
 	prefixes := t.hosts[hostName(host)]
 	if prefixes == nil {
 		return nil
 	}
-	// Prefixes end with a slash: only the slashes of the path need a look.
+	// Prefixes end with a slash, so only parts of the path that end with one can match.
 	for end := strings.LastIndexByte(path, '/'); end >= 0; end = strings.LastIndexByte(path[:end], '/') {
 		if r := prefixes[path[:end+1]]; r != nil {
 			return r
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// hostName is the host in lower case without its port.
+// hostName returns the host in lower case without its port.
 func hostName(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
@@ -55,8 +55,8 @@
 	return strings.ToLower(host)
 }
 
-// PickTarget chooses a target of the route by weight: at is in [0, 1). A route whose
-// weights are all zero gives none.
+// PickTarget chooses a target of the route by weight. The at parameter in [0, 1) is a position
+// on the scale of cumulative weights. It returns ok = false if all weights are zero.
 func PickTarget(r *document.Route, at float64) (service string, ok bool) {
 	total := 0.0
 	for _, t := range r.Targets {
@@ -65,17 +65,17 @@
 	if total <= 0 {
 		return "", false
 	}
-	left := at * total
+	rest := at * total
 	last := ""
 	for _, t := range r.Targets {
 		if t.Weight <= 0 {
 			continue
 		}
 		last = t.Service
-		if left < t.Weight {
+		if rest < t.Weight {
 			return t.Service, true
 		}
-		left -= t.Weight
+		rest -= t.Weight
 	}
 	return last, true
 }
--- a/kernel/route/route_test.go
+++ b/kernel/route/route_test.go
@@ -6,8 +6,8 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/document"
 )
 
-// TestLongestPrefix checks that the longest prefix of the right host wins.
-func TestLongestPrefix(t *testing.T) {
+// TestLongestPrefixWins matches the routes of two hosts.
+func TestLongestPrefixWins(t *testing.T) {
 	table := NewTable([]document.Route{
 		{Name: "root", Host: "A.example", Prefix: "/"},
 		{Name: "short", Host: "a.example", Prefix: "/titles/"},
@@ -36,8 +36,8 @@
 	}
 }
 
-// TestPickByWeight checks the proportions of a split.
-func TestPickByWeight(t *testing.T) {
+// TestPickTargetFollowsWeights checks the share of each target.
+func TestPickTargetFollowsWeights(t *testing.T) {
 	r := &document.Route{Targets: []document.RouteTarget{{Service: "a", Weight: 3}, {Service: "none"}, {Service: "b", Weight: 1}}}
 	counts := map[string]int{}
 	const n = 1000
