--- a/kernel/catalog/build.go
+++ b/kernel/catalog/build.go
@@ -163,10 +163,10 @@
 // buildUpstream returns an upstream with one shard per service. The key space has as many keys as
 // there are services, and shard i holds key i.
 func (c *Catalog) buildUpstream(u upstreamSpec, leaves map[string][]document.Leaf) document.Upstream {
-	repeats := c.settings.RepeatLimit
+	repeatLimit := c.settings.RepeatLimit
 	out := document.Upstream{
 		Name: u.name, KeySpace: uint64(len(u.services)), ConnectionLimit: u.connectionLimit,
-		DialCost: c.settings.DialCost, RepeatLimit: &repeats,
+		DialCost: c.settings.DialCost, RepeatLimit: &repeatLimit,
 	}
 	for i, service := range u.services {
 		out.Shards = append(out.Shards, document.Shard{
--- a/kernel/catalog/catalog.go
+++ b/kernel/catalog/catalog.go
@@ -123,6 +123,7 @@
 func (c *Catalog) ChangedRouteCount() int { return c.compiled.resolvedCount }
 
 // RecordConfigMissing records that a read that began at readStart found no configuration.
+// It has no effect if a configuration is in force.
 func (c *Catalog) RecordConfigMissing(readStart time.Time) {
 	if c.config == nil && readStart.After(c.configAt) {
 		c.configAt = readStart
--- a/kernel/catalog/change.go
+++ b/kernel/catalog/change.go
@@ -160,7 +160,7 @@
 	for _, name := range change.GoneRoutes {
 		gone[name] = true
 	}
-	sums := c.routeHashes()
+	hashes := c.routeHashes()
 	out.Routes = make([]*Route, 0, len(c.Routes)+len(change.New))
 	out.hashes = make([]uint64, 0, cap(out.Routes))
 	added := change.New
@@ -175,7 +175,7 @@
 		if next := changed[r.Name]; next != nil {
 			out.appendRoute(next, next.hash())
 		} else {
-			out.appendRoute(r, sums[i])
+			out.appendRoute(r, hashes[i])
 		}
 	}
 	for _, n := range added {
@@ -185,8 +185,8 @@
 }
 
 // appendRoute appends a route and its hash.
-func (c *Config) appendRoute(r *Route, sum uint64) {
-	c.Routes, c.hashes = append(c.Routes, r), append(c.hashes, sum)
+func (c *Config) appendRoute(r *Route, hash uint64) {
+	c.Routes, c.hashes = append(c.Routes, r), append(c.hashes, hash)
 }
 
 // changedServices returns the services after a change.
@@ -238,8 +238,8 @@
 		buf = binary.AppendVarint(buf, int64(c.Services[name].ConnectionLimit))
 		_, _ = h.Write(buf)
 	}
-	for _, sum := range c.routeHashes() {
-		_, _ = h.Write(binary.LittleEndian.AppendUint64(buf[:0], sum))
+	for _, hash := range c.routeHashes() {
+		_, _ = h.Write(binary.LittleEndian.AppendUint64(buf[:0], hash))
 	}
 	return max(h.Sum64(), 1)
 }
--- a/kernel/document/document.go
+++ b/kernel/document/document.go
@@ -35,7 +35,7 @@
 	// RepeatLimit bounds the arrivals at one shard beyond the first of each request; nil
 	// sets no bound.
 	RepeatLimit *RepeatLimit
-	Shards  []Shard
+	Shards      []Shard
 }
 
 // Shard is a key range and the leaves that replicate it.
