--- a/entry/hosted/control.go
+++ b/entry/hosted/control.go
@@ -153,7 +153,7 @@
 	c.meters.observe(state{
 		source: c.stateSource(), role: role.String(),
 		configAge: configAge.Seconds(), leavesAge: leavesAge.Seconds(), version: c.catalog.Version(),
-		leaves: c.catalog.LeafCount(), slowLeaves: len(n.slow.Slow(now)), instances: look(n.fleet, (*fleet.Fleet).Size),
+		leaves: c.catalog.LeafCount(), slowLeaves: len(n.slow.SlowLeaves(now)), instances: look(n.fleet, (*fleet.Fleet).Size),
 		connections: open, dials: dials, running: n.executor.Running(), logDrops: n.log.Dropped(),
 		repeatsLeft: repeatsLeft, limitedShards: limited, forward: n.forwarder.ForwardDelay().Seconds(), gather: n.forwarder.GatherDelay().Seconds(),
 	})
@@ -188,12 +188,12 @@
 		c.publish()
 	}
 	before := c.state.Load()
-	hash := before.Hash()
+	hash := before.LeavesHash()
 	c.refreshState(now)
 	if c.state.Load().AsOf().After(before.AsOf()) {
 		c.source.Store(sourceOf(message))
 	}
-	if _, ok := message.(leavesRead); ok && c.state.Load().Hash() != hash {
+	if _, ok := message.(leavesRead); ok && c.state.Load().LeavesHash() != hash {
 		c.storeLists.Add(1)
 	}
 }
--- a/entry/hosted/forwarding/forwarding.go
+++ b/entry/hosted/forwarding/forwarding.go
@@ -50,9 +50,9 @@
 	Views     Views
 	Lifecycle Lifecycle
 	Peers     Peers
-	// Power is the share of a core that this instance has; 0: not known.
-	Power float64
-	Log   *telemetry.Log
+	// CPUs is the share of a core that this instance has; 0: not known.
+	CPUs float64
+	Log  *telemetry.Log
 	// SyncNow is called when another instance has a newer configuration.
 	SyncNow func()
 }
@@ -69,14 +69,14 @@
 
 // New makes a forwarder. It runs nothing before Serve.
 func New(c Config) *Forwarder {
-	first := firstDelay(c.Power)
+	first := firstDelay(c.CPUs)
 	return &Forwarder{
 		config: c, forwardDelays: delayEstimate{first: first}, gatherDelays: delayEstimate{first: min(first+crossZone, mostForwardDelay)},
 	}
 }
 
-// Serve sets the gateway that runs what other instances hand over.
-func (f *Forwarder) Serve(g *gateway.Gateway) { f.gateway = g }
+// SetGateway sets the gateway that runs what other instances hand over.
+func (f *Forwarder) SetGateway(g *gateway.Gateway) { f.gateway = g }
 
 // ForwardDelay is what handing a request over takes beside the run.
 func (f *Forwarder) ForwardDelay() time.Duration { return f.forwardDelays.high() }
--- a/entry/hosted/forwarding/version_test.go
+++ b/entry/hosted/forwarding/version_test.go
@@ -38,7 +38,7 @@
 	n := elsewhere(t, strong{})
 	n.lifecycle.Serve()
 	decided := &decidedBy{}
-	n.Serve(gateway.New(gateway.Config{Executor: decided, Views: always{n}, Lifecycle: &n.lifecycle, Log: n.config.Log}))
+	n.SetGateway(gateway.New(gateway.Config{Executor: decided, Views: always{n}, Lifecycle: &n.lifecycle, Log: n.config.Log}))
 	rapid.Check(t, func(rt *rapid.T) {
 		own := rapid.Uint64Range(1, 6).Draw(rt, "own version")
 		sent := rapid.Uint64Range(1, 6).Draw(rt, "sender's version")
--- a/entry/hosted/hosted.go
+++ b/entry/hosted/hosted.go
@@ -162,7 +162,7 @@
 	n.control = newControl(n)
 	n.leaves = c.NewLeaves(n.control.leafGone)
 	n.forwarder = forwarding.New(forwarding.Config{
-		Zone: c.Zone, Fleet: n.fleet, Views: n, Lifecycle: &n.lifecycle, Peers: n.peers, Power: c.Power, Log: log, SyncNow: n.control.syncNow,
+		Zone: c.Zone, Fleet: n.fleet, Views: n, Lifecycle: &n.lifecycle, Peers: n.peers, CPUs: c.Power, Log: log, SyncNow: n.control.syncNow,
 	})
 	n.executor = executor.New(executor.Config{
 		Leaves: n.leaves, LeafObserver: n.control, Log: log, Metrics: n.metrics, Policies: hostedPolicies,
@@ -177,7 +177,7 @@
 		Executor: n.executor, Views: n, Lifecycle: &n.lifecycle, Headers: c.Headers,
 		Combiner: newCombiner(), Relay: n.forwarder, Log: log, Metrics: n.metrics,
 	})
-	n.forwarder.Serve(n.gateway)
+	n.forwarder.SetGateway(n.gateway)
 	return n, nil
 }
 
@@ -188,7 +188,7 @@
 		return 0, 0
 	}
 	now := time.Now()
-	return now.Sub(state.Known.ConfigAt), now.Sub(state.Known.LeavesAt)
+	return now.Sub(state.LastReads.ConfigAt), now.Sub(state.LastReads.LeavesAt)
 }
 
 // Log returns the logger of a part.
--- a/entry/hosted/members.go
+++ b/entry/hosted/members.go
@@ -61,7 +61,7 @@
 	known     chan struct{}
 	knownOnce sync.Once
 	// sent is the list as other instances get it.
-	sent atomic.Pointer[statesync.Instances]
+	sent atomic.Pointer[statesync.InstanceList]
 	// tried is when this instance last read the list; the listing goroutine's own.
 	tried time.Time
 
@@ -219,7 +219,7 @@
 	if s := m.sent.Load(); s != nil && s.Hash == fleet.HashInstances(list) {
 		return
 	}
-	s, err := statesync.NewInstances(list)
+	s, err := statesync.NewInstanceList(list)
 	if err != nil {
 		m.log.Error("list of instances was not encoded", "err", err)
 		return
@@ -243,5 +243,5 @@
 		return
 	}
 	out.FleetAgeMS = statesync.AgeMS(at, now)
-	s.Write(r.Fleet, out)
+	s.FillReply(r.Fleet, out)
 }
--- a/entry/hosted/quarantine_test.go
+++ b/entry/hosted/quarantine_test.go
@@ -35,7 +35,7 @@
 	t.Helper()
 	n := idle(t)
 	now := time.Now()
-	n.control.state.Store(&statesync.State{Known: catalog.LastReads{ConfigAt: now, LeavesAt: now}})
+	n.control.state.Store(&statesync.State{LastReads: catalog.LastReads{ConfigAt: now, LeavesAt: now}})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/entry/hosted/routes_bench_test.go
+++ b/entry/hosted/routes_bench_test.go
@@ -81,7 +81,7 @@
 				request := received.Request(base)
 				reply := sender.state.Load().Reply(&request, time.Now())
 				sent += len(reply.Config) + len(reply.Change)
-				update, err := received.Take(reply, base, time.Now(), time.Now())
+				update, err := received.Apply(reply, base, time.Now(), time.Now())
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/entry/hosted/slowleaves/slowleaves.go
+++ b/entry/hosted/slowleaves/slowleaves.go
@@ -37,9 +37,9 @@
 	s.pending = append(s.pending, list[:min(len(list), mostPending-len(s.pending))]...)
 }
 
-// Observe takes the observations of an instance that asks. Their ages are as it says:
+// AddFromPeer takes the observations of an instance that asks. Their ages are as it says:
 // the way here takes about a millisecond.
-func (s *Exchange) Observe(seen []peerapi.SeenLeaf, now time.Time) {
+func (s *Exchange) AddFromPeer(seen []peerapi.SeenLeaf, now time.Time) {
 	list := make([]slowness.Observation, 0, len(seen))
 	for _, l := range seen {
 		list = append(list, slowness.Observation{Leaf: l.Leaf, Elapsed: ms(l.TookMS), Slow: l.Slow, At: now.Add(-ms(l.AgeMS))})
@@ -62,8 +62,8 @@
 	return out
 }
 
-// SetReported keeps what the asked instance says.
-func (s *Exchange) SetReported(slow []peerapi.SeenLeaf, began time.Time) {
+// SetPeerReport keeps what the asked instance says.
+func (s *Exchange) SetPeerReport(slow []peerapi.SeenLeaf, began time.Time) {
 	list := make([]slowness.SlowLeaf, 0, len(slow))
 	for _, l := range slow {
 		list = append(list, slowness.SlowLeaf{Leaf: l.Leaf, Elapsed: ms(l.TookMS), At: began.Add(-ms(l.AgeMS))})
@@ -73,8 +73,8 @@
 	s.others = list
 }
 
-// Slow lists the leaves that are taken to be slow here or by the asked instance.
-func (s *Exchange) Slow(now time.Time) []slowness.SlowLeaf {
+// SlowLeaves lists the leaves that are taken to be slow here or by the asked instance.
+func (s *Exchange) SlowLeaves(now time.Time) []slowness.SlowLeaf {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	own := s.detector.SlowLeaves(now)
@@ -93,7 +93,7 @@
 // Report is the list for an instance that asks.
 func (s *Exchange) Report(now time.Time) []peerapi.SeenLeaf {
 	var out []peerapi.SeenLeaf
-	for _, l := range s.Slow(now) {
+	for _, l := range s.SlowLeaves(now) {
 		out = append(out, peerapi.SeenLeaf{Leaf: l.Leaf, TookMS: l.Elapsed.Milliseconds(), Slow: true, AgeMS: now.Sub(l.At).Milliseconds()})
 	}
 	return out
--- a/entry/hosted/statesync/config_test.go
+++ b/entry/hosted/statesync/config_test.go
@@ -42,7 +42,7 @@
 		request := receiver.Request(tc.base)
 		reply := peerapi.SyncReply{ConfigAgeMS: 1, LeavesAgeMS: 1, FleetAgeMS: unknownMS}
 		state.write(&request, &reply)
-		update, err := receiver.Take(&reply, tc.base, listStart, listStart)
+		update, err := receiver.Apply(&reply, tc.base, listStart, listStart)
 		if err != nil || update.Config == nil || update.Config.Hash() != state.hash() {
 			t.Errorf("%s: error %v", tc.name, err)
 		}
@@ -65,13 +65,13 @@
 	request := receiver.Request(other)
 	var reply peerapi.SyncReply
 	second.write(&request, &reply)
-	if _, err := receiver.Take(&reply, other, listStart, listStart); !errors.Is(err, errOtherConfig) {
+	if _, err := receiver.Apply(&reply, other, listStart, listStart); !errors.Is(err, errOtherConfig) {
 		t.Fatalf("error %v, want %v", err, errOtherConfig)
 	}
 	request = receiver.Request(other)
 	reply = peerapi.SyncReply{}
 	second.write(&request, &reply)
-	update, err := receiver.Take(&reply, other, listStart, listStart)
+	update, err := receiver.Apply(&reply, other, listStart, listStart)
 	if err != nil || update.Config == nil || update.Config.Hash() != second.hash() {
 		t.Errorf("after the whole configuration was asked for: error %v", err)
 	}
@@ -89,8 +89,8 @@
 	request := receiver.Request(versionOf(1))
 	reply := peerapi.SyncReply{ConfigAgeMS: 1, LeavesAgeMS: 1, FleetAgeMS: unknownMS}
 	newConfigState(config, nil).write(&request, &reply)
-	update, err := receiver.Take(&reply, versionOf(1), listStart, listStart)
-	if err != nil || update.Knows() {
+	update, err := receiver.Apply(&reply, versionOf(1), listStart, listStart)
+	if err != nil || update.HasConfigAndLeaves() {
 		t.Errorf("the peer knows version %d by it, error %v", update.Version, err)
 	}
 }
--- a/entry/hosted/statesync/instances.go
+++ b/entry/hosted/statesync/instances.go
@@ -16,15 +16,15 @@
 	Mark uint64
 }
 
-// Instances is the list of instances that this instance sends to others. It is immutable.
-type Instances struct {
+// InstanceList is the list of instances that this instance sends to others. It is immutable.
+type InstanceList struct {
 	// Hash is that of the list, which marks do not change.
 	Hash   uint64
 	packed []byte
 }
 
-// NewInstances encodes a list.
-func NewInstances(list []fleet.Instance) (*Instances, error) {
+// NewInstanceList encodes a list.
+func NewInstanceList(list []fleet.Instance) (*InstanceList, error) {
 	records := make([]instanceRecord, 0, len(list))
 	for _, i := range list {
 		records = append(records, instanceRecord{Name: i.Name, Zone: i.Zone, Peer: i.PeerAddress, Power: i.CPUs, Mark: i.AnnouncementID})
@@ -33,11 +33,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Instances{Hash: fleet.HashInstances(list), packed: packed}, nil
+	return &InstanceList{Hash: fleet.HashInstances(list), packed: packed}, nil
 }
 
-// Write fills in the list where it differs from the one with the given hash.
-func (i *Instances) Write(from uint64, out *peerapi.SyncReply) {
+// FillReply fills in the list where it differs from the one with the given hash.
+func (i *InstanceList) FillReply(from uint64, out *peerapi.SyncReply) {
 	out.Fleet = i.Hash
 	if i.Hash != from {
 		out.Instances = i.packed
--- a/entry/hosted/statesync/receiver.go
+++ b/entry/hosted/statesync/receiver.go
@@ -14,22 +14,22 @@
 	Version uint64
 	// Config is that configuration; nil: it is the one asked with, or there is none.
 	Config *catalog.Config
-	// ByChange says that the peer has sent what leads to it from the one asked with.
-	ByChange bool
+	// Incremental says that the peer has sent what leads to it from the one asked with.
+	Incremental bool
 	// ConfigAt, LeavesAt and FleetAt are when the reads of the store began from which
 	// the peer knows it, by this instance's clock; zero: the peer does not know.
 	ConfigAt, LeavesAt, FleetAt time.Time
-	// List has all leaves if Differs is set, else only its revision counts.
-	List    catalog.Listing
-	Differs bool
+	// Leaves has all leaves if Differs is set, else only its revision counts.
+	Leaves        catalog.Listing
+	LeavesChanged bool
 	// Instances is the list of instances; nil: it is the one asked with.
 	Instances []fleet.Instance
 	// FleetHash is the hash of the peer's list of instances.
 	FleetHash uint64
 }
 
-// Knows reports whether the peer knows anything of configuration and leaves.
-func (u *Update) Knows() bool { return !u.ConfigAt.IsZero() && !u.LeavesAt.IsZero() }
+// HasConfigAndLeaves reports whether the peer knows anything of configuration and leaves.
+func (u *Update) HasConfigAndLeaves() bool { return !u.ConfigAt.IsZero() && !u.LeavesAt.IsZero() }
 
 // Age is that of the older one of configuration and leaves.
 func (u *Update) Age(now time.Time) time.Duration {
@@ -53,14 +53,14 @@
 	return out
 }
 
-// Forget makes the next request ask for the whole list.
-func (r *Receiver) Forget() { r.leaves.forget() }
+// ForgetLeaves makes the next request ask for the whole list.
+func (r *Receiver) ForgetLeaves() { r.leaves.forget() }
 
-// Take decodes a reply to a request for what differs from a configuration and from the list
+// Apply decodes a reply to a request for what differs from a configuration and from the list
 // received last. Ages count from when it was sent, so that what a peer sends is never taken for newer than it is.
-func (r *Receiver) Take(reply *peerapi.SyncReply, base *catalog.Config, sent, now time.Time) (*Update, error) {
+func (r *Receiver) Apply(reply *peerapi.SyncReply, base *catalog.Config, sent, now time.Time) (*Update, error) {
 	out := &Update{
-		Version: reply.Version, ByChange: reply.Change != nil, FleetHash: reply.Fleet,
+		Version: reply.Version, Incremental: reply.Change != nil, FleetHash: reply.Fleet,
 		ConfigAt: since(reply.ConfigAgeMS, sent), LeavesAt: since(reply.LeavesAgeMS, sent), FleetAt: since(reply.FleetAgeMS, sent),
 	}
 	var err error
@@ -71,8 +71,8 @@
 	if out.Instances, err = decodeInstances(reply); err != nil {
 		return nil, err
 	}
-	if out.List, out.Differs, err = r.leaves.take(reply, now); err != nil {
-		r.Forget()
+	if out.Leaves, out.LeavesChanged, err = r.leaves.take(reply, now); err != nil {
+		r.ForgetLeaves()
 		return nil, err
 	}
 	return out, nil
--- a/entry/hosted/statesync/state.go
+++ b/entry/hosted/statesync/state.go
@@ -23,13 +23,13 @@
 
 // State is what this instance sends to others of configuration and leaves. It is immutable.
 type State struct {
-	// Known says how new it is.
-	Known  catalog.LastReads
-	config *configState // nil while there is no configuration
-	hash   uint64
-	list   map[string]leafRecord // by ID
-	leaves []byte                // list, packed
-	past   []pastList            // the latest last
+	// LastReads says how new it is.
+	LastReads catalog.LastReads
+	config    *configState // nil while there is no configuration
+	hash      uint64
+	list      map[string]leafRecord // by ID
+	leaves    []byte                // list, packed
+	past      []pastList            // the latest last
 }
 
 // Config is the configuration, or nil. It must not be changed.
@@ -40,8 +40,8 @@
 	return s.config.config
 }
 
-// Hash is that of the list of leaves; 0 before there is a state.
-func (s *State) Hash() uint64 {
+// LeavesHash is that of the list of leaves; 0 before there is a state.
+func (s *State) LeavesHash() uint64 {
 	if s == nil {
 		return 0
 	}
@@ -54,15 +54,15 @@
 	if s == nil {
 		return time.Time{}
 	}
-	if s.Known.ConfigAt.Before(s.Known.LeavesAt) {
-		return s.Known.ConfigAt
+	if s.LastReads.ConfigAt.Before(s.LastReads.LeavesAt) {
+		return s.LastReads.ConfigAt
 	}
-	return s.Known.LeavesAt
+	return s.LastReads.LeavesAt
 }
 
 // New encodes the catalog, from what was encoded before where it has not changed.
 func New(c *catalog.Catalog, before *State, now time.Time) (*State, error) {
-	next := &State{Known: c.LastReads()}
+	next := &State{LastReads: c.LastReads()}
 	if before != nil {
 		next.config = before.config
 	}
@@ -105,17 +105,17 @@
 	return nil
 }
 
-// Unknown is the reply of an instance that knows nothing, or leaves: others are to ask
+// UnknownReply is the reply of an instance that knows nothing, or leaves: others are to ask
 // elsewhere in time.
-func Unknown() *peerapi.SyncReply {
+func UnknownReply() *peerapi.SyncReply {
 	return &peerapi.SyncReply{ConfigAgeMS: unknownMS, LeavesAgeMS: unknownMS, FleetAgeMS: unknownMS}
 }
 
 // Reply is what a peer that asks gets of configuration and leaves.
 func (s *State) Reply(r *peerapi.SyncRequest, now time.Time) *peerapi.SyncReply {
 	out := &peerapi.SyncReply{
-		ConfigAgeMS: AgeMS(s.Known.ConfigAt, now),
-		Revision:    s.Known.Revision, Hash: s.hash, LeavesAgeMS: AgeMS(s.Known.LeavesAt, now), FleetAgeMS: unknownMS,
+		ConfigAgeMS: AgeMS(s.LastReads.ConfigAt, now),
+		Revision:    s.LastReads.Revision, Hash: s.hash, LeavesAgeMS: AgeMS(s.LastReads.LeavesAt, now), FleetAgeMS: unknownMS,
 	}
 	s.config.write(r, out)
 	s.writeLeaves(r.Hash, out)
--- a/entry/hosted/sync.go
+++ b/entry/hosted/sync.go
@@ -33,12 +33,12 @@
 func (n *Node) Sync(from string, r peerapi.SyncRequest) *peerapi.SyncReply {
 	s := n.control.state.Load()
 	if s == nil || n.lifecycle.Leaving() {
-		return statesync.Unknown()
+		return statesync.UnknownReply()
 	}
 	now := time.Now()
 	out := s.Reply(&r, now)
 	n.fleet.write(&r, out, now)
-	n.slow.Observe(r.Seen, now)
+	n.slow.AddFromPeer(r.Seen, now)
 	out.Slow = n.slow.Report(now)
 	n.executor.MergeQuarantine(r.Quarantine)
 	out.Quarantine = n.executor.Quarantine()
@@ -50,7 +50,7 @@
 func (n *Node) shareObservations() {
 	now := time.Now()
 	n.slow.Add(n.executor.Observations(), now)
-	if slow := n.slow.Slow(now); len(slow) > 0 {
+	if slow := n.slow.SlowLeaves(now); len(slow) > 0 {
 		n.executor.ReportSlow(slow)
 	}
 }
@@ -78,7 +78,7 @@
 	began := time.Now()
 	base := c.storeLists.Load()
 	if base != c.receiverBase {
-		c.receiver.Forget()
+		c.receiver.ForgetLeaves()
 		c.receiverBase = base
 	}
 	config := c.state.Load().Config()
@@ -90,17 +90,17 @@
 		return err
 	}
 	c.node.executor.MergeQuarantine(reply.Quarantine)
-	update, err := c.receiver.Take(reply, config, began, time.Now())
+	update, err := c.receiver.Apply(reply, config, began, time.Now())
 	if err != nil {
 		return err
 	}
-	if !update.Knows() {
+	if !update.HasConfigAndLeaves() {
 		return errUnknownState
 	}
-	c.node.slow.SetReported(reply.Slow, began)
+	c.node.slow.SetPeerReport(reply.Slow, began)
 	c.node.fleet.received(update)
 	if err := c.post(ctx, peerUpdate{update: update, peer: cmp.Or(from.Name, from.PeerAddress), base: base}); err != nil {
-		c.receiver.Forget() // the catalog has not got it
+		c.receiver.ForgetLeaves() // the catalog has not got it
 		return err
 	}
 	if age := update.Age(time.Now()); age > c.bound(staleShare) {
@@ -115,7 +115,7 @@
 	if s == nil {
 		return -1
 	}
-	config, leaves := statesync.AgeMS(s.Known.ConfigAt, now), statesync.AgeMS(s.Known.LeavesAt, now)
+	config, leaves := statesync.AgeMS(s.LastReads.ConfigAt, now), statesync.AgeMS(s.LastReads.LeavesAt, now)
 	if config < 0 || leaves < 0 {
 		return -1
 	}
@@ -155,7 +155,7 @@
 // takeUpdate puts a peer's state into the catalog and reports whether anything changed.
 func (c *control) takeUpdate(m peerUpdate, now time.Time) bool {
 	u := m.update
-	configFrom, leavesFrom := origin{peer: m.peer, began: u.ConfigAt, byChange: u.ByChange}, origin{peer: m.peer, began: u.LeavesAt}
+	configFrom, leavesFrom := origin{peer: m.peer, began: u.ConfigAt, byChange: u.Incremental}, origin{peer: m.peer, began: u.LeavesAt}
 	changed := false
 	if u.Config != nil {
 		changed = c.takeConfig(u.Config, configFrom, now)
@@ -165,10 +165,10 @@
 		changed = c.takeConfig(c.catalog.Config(), configFrom, now)
 	}
 	switch {
-	case u.Differs:
-		return c.takeLeaves(u.List, leavesFrom, now) || changed
+	case u.LeavesChanged:
+		return c.takeLeaves(u.Leaves, leavesFrom, now) || changed
 	case m.base == c.storeLists.Load():
-		return c.catalog.ConfirmLeaves(u.List.Revision, u.LeavesAt) || changed
+		return c.catalog.ConfirmLeaves(u.Leaves.Revision, u.LeavesAt) || changed
 	default: // the list in force is another by now
 		return changed
 	}
