--- a/entry/hosted/forwarding/connect.go
+++ b/entry/hosted/forwarding/connect.go
@@ -7,56 +7,59 @@
 )
 
 const (
-	// connectWithin spreads the first connections of instances that start at the same time.
-	connectWithin = 200 * time.Millisecond
-	// connectAgain is the time between two looks at the connections to partners, and
-	// connectSoon that after one was not reached: it may be starting, too.
-	connectAgain = 5 * time.Second
-	connectSoon  = 500 * time.Millisecond
-	// connectTimeout bounds opening one connection.
+	// connectJitter is the longest random delay before the first connections. It spreads
+	// those of instances that start at the same time.
+	connectJitter = 200 * time.Millisecond
+	// connectCheckInterval is the time between two checks of the connections to partners.
+	// connectRetryInterval replaces it after a partner could not be reached: that partner
+	// may be starting, too.
+	connectCheckInterval = 5 * time.Second
+	connectRetryInterval = 500 * time.Millisecond
+	// connectTimeout limits the time to open one connection.
 	connectTimeout = 500 * time.Millisecond
 )
 
-// KeepConnected keeps connections open to the instances to which this one hands over much,
-// from when they are known until the context ends. Opening one takes four round trips and
-// the other's processor: the first requests after a start would be late by it, or not be
-// taken over in time.
+// KeepConnected keeps connections open to the partners, the instances to which this one
+// forwards many requests. It starts when known is closed and returns the context's error
+// when the context ends. Opening a connection takes four round trips and processor time of
+// the other instance. Without open connections the first requests after a start would be
+// late by that, or not be accepted in time.
 func (f *Forwarder) KeepConnected(ctx context.Context, known <-chan struct{}) error {
 	select {
 	case <-known:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	pause := rand.N(connectWithin)
+	pause := rand.N(connectJitter)
 	for ctx.Err() == nil {
 		sleep(ctx, pause)
-		pause = connectAgain
-		if !f.connectAll(ctx) {
-			pause = connectSoon
+		pause = connectCheckInterval
+		if !f.connectPartners(ctx) {
+			pause = connectRetryInterval
 		}
 	}
 	return ctx.Err()
 }
 
-// connectAll opens the connections that are missing, one after the other, and reports
-// whether all partners were reached.
-func (f *Forwarder) connectAll(ctx context.Context) (all bool) {
-	all = true
+// connectPartners opens the missing connections, one after the other and in random order,
+// and reports whether all partners were reached.
+func (f *Forwarder) connectPartners(ctx context.Context) (reachedAll bool) {
+	reachedAll = true
 	partners := f.config.Fleet.Partners(time.Now())
 	rand.Shuffle(len(partners), func(i, j int) { partners[i], partners[j] = partners[j], partners[i] })
 	for _, to := range partners {
-		call, cancel := context.WithTimeout(ctx, connectTimeout)
-		err := f.config.Peers.Connect(call, targetOf(to))
+		connectCtx, cancel := context.WithTimeout(ctx, connectTimeout)
+		err := f.config.Peers.Connect(connectCtx, peerTarget(to))
 		cancel()
 		if err != nil && ctx.Err() == nil {
-			all = false
-			f.config.Log.Part(relayPart).Info("partner was not reached", "to", to.Name, "err", err)
+			reachedAll = false
+			f.config.Log.Part(relayLogPrefix).Info("could not connect to a partner instance", "to", to.Name, "err", err)
 		}
 	}
-	return all
+	return reachedAll
 }
 
-// sleep waits for d, or less when the context ends.
+// sleep waits for d or until the context ends.
 func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/entry/hosted/forwarding/forwarding.go
+++ b/entry/hosted/forwarding/forwarding.go
@@ -1,6 +1,7 @@
-// Package forwarding has requests run by other instances: an instance with little processor
-// hands a query over many shards to a stronger one of its zone, and parts whose leaves are
-// in another zone are gathered by an instance there. It also runs what others hand over.
+// Package forwarding has other instances run requests or parts of them. An instance with a
+// small share of a core forwards a query over many shards to an instance of its zone that has
+// more. The parts of a query whose leaves are in another zone are gathered by an instance of
+// that zone. The package also runs what other instances forward to this one.
 package forwarding
 
 import (
@@ -15,34 +16,35 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/view"
 )
 
-// Fleet knows whom to ask.
+// Fleet lists the instances to which requests can be forwarded.
 type Fleet interface {
-	// Stronger lists the instances of the zone to which a large query may be handed.
+	// Stronger lists the instances of this zone to which a large query may be forwarded.
 	Stronger(now time.Time) []fleet.Instance
 	// Gatherers lists the instances of a zone that may gather parts for this one.
 	Gatherers(zone string, now time.Time) []fleet.Instance
-	// Partners lists the instances to which this one hands over much.
+	// Partners lists the instances to which this one forwards many requests.
 	Partners(now time.Time) []fleet.Instance
-	// Failed notes that an instance did not answer, Answered that it is well.
+	// Failed records that an instance did not answer.
 	Failed(i fleet.Instance, now time.Time)
+	// Answered records that an instance is healthy.
 	Answered(i fleet.Instance)
 }
 
-// Views gives the view in force, nil before there is one.
+// Views returns the view in force, nil before there is one.
 type Views interface{ View() *view.View }
 
-// Lifecycle says whether this instance refuses requests.
+// Lifecycle reports whether this instance refuses requests.
 type Lifecycle interface{ Refusing() bool }
 
 // Peers calls other instances.
 type Peers interface {
 	Forward(ctx context.Context, to peer.Target, r *peerapi.ForwardRequest, a peer.Acceptance) (*peerapi.ForwardReply, error)
 	Rest(ctx context.Context, to peer.Target, id uint64) (*peerapi.ForwardReply, error)
-	// Connect opens a connection where none is kept.
+	// Connect opens a connection unless one is open.
 	Connect(ctx context.Context, to peer.Target) error
 }
 
-// Config is what a forwarder needs.
+// Config has the settings and dependencies of a Forwarder.
 type Config struct {
 	// Zone is this instance's availability zone.
 	Zone      string
@@ -50,36 +52,41 @@
 	Views     Views
 	Lifecycle Lifecycle
 	Peers     Peers
-	// CPUs is the share of a core that this instance has; 0: not known.
+	// CPUs is the number of cores that this instance may use, often a fraction of one; 0 if
+	// it is unknown.
 	CPUs float64
 	Log  *telemetry.Log
-	// SyncNow is called when another instance has a newer configuration.
+	// SyncNow starts a sync with another instance. It is called when an instance is found to
+	// have a newer configuration.
 	SyncNow func()
 }
 
-// Forwarder hands requests over and runs those that are handed to it. It implements
+// Forwarder forwards requests and runs those that are forwarded to it. It implements
 // gateway.Relay, executor.Gatherer and peer.ForwardHandler.
 type Forwarder struct {
 	config  Config
 	gateway *gateway.Gateway
-	// forwardDelays is what handing a request over takes within the zone, gatherDelays
-	// what having a group gathered in another one does.
+	// forwardDelays estimates the delay of forwarding a request within the zone, and
+	// gatherDelays that of having a group gathered in another zone.
 	forwardDelays, gatherDelays delayEstimate
 }
 
-// New makes a forwarder. It runs nothing before Serve.
+// New returns a forwarder. It can forward requests, but runs none for other instances before
+// SetGateway.
 func New(c Config) *Forwarder {
-	first := firstDelay(c.CPUs)
+	initial := initialDelay(c.CPUs)
 	return &Forwarder{
-		config: c, forwardDelays: delayEstimate{first: first}, gatherDelays: delayEstimate{first: min(first+crossZone, mostForwardDelay)},
+		config: c, forwardDelays: delayEstimate{initial: initial}, gatherDelays: delayEstimate{initial: min(initial+crossZoneDelay, maxForwardDelay)},
 	}
 }
 
-// SetGateway sets the gateway that runs what other instances hand over.
+// SetGateway sets the gateway that runs the requests and groups that other instances forward.
 func (f *Forwarder) SetGateway(g *gateway.Gateway) { f.gateway = g }
 
-// ForwardDelay is what handing a request over takes beside the run.
-func (f *Forwarder) ForwardDelay() time.Duration { return f.forwardDelays.high() }
+// ForwardDelay returns the delay that forwarding a request adds to the time of its run. Most
+// forwarded requests do not exceed it.
+func (f *Forwarder) ForwardDelay() time.Duration { return f.forwardDelays.upperBound() }
 
-// GatherDelay is what having a group gathered takes beside the run.
-func (f *Forwarder) GatherDelay() time.Duration { return f.gatherDelays.high() }
+// GatherDelay returns the delay that having a group gathered in another zone adds to the time
+// of its run. Most groups do not exceed it.
+func (f *Forwarder) GatherDelay() time.Duration { return f.gatherDelays.upperBound() }
--- a/entry/hosted/forwarding/gather.go
+++ b/entry/hosted/forwarding/gather.go
@@ -20,47 +20,49 @@
 )
 
 const (
-	// takeWithin is how long an instance of another zone may take to accept a group:
-	// opening a connection to it takes four round trips of up to 3 ms.
-	takeWithin = 20 * time.Millisecond
-	// gatherObjectives times the objective is when a group of which nothing has come is
-	// taken for lost: its first reply is due before the objective, nothing else shows a
-	// peer that lost its power, and what is left is the caller's for another try.
-	gatherObjectives = 1.5
-	// gatherPart is the prefix of lines about groups.
-	gatherPart = "gather"
+	// gatherAcceptTimeout is how long an instance of another zone may take to accept a group.
+	// Opening a connection to it takes four round trips of up to 3 ms.
+	gatherAcceptTimeout = 20 * time.Millisecond
+	// firstReplyObjectives times the objective is the time from the start of a request after
+	// which a group without a reply counts as lost. The first reply is due before the
+	// objective. Nothing else shows that the machine of a peer has lost its power, and the
+	// time that is left allows the caller another attempt.
+	firstReplyObjectives = 1.5
+	// gatherLogPrefix is the prefix of log lines about groups.
+	gatherLogPrefix = "gather"
 )
 
-// Plan implements executor.Gatherer. Only parts that a combiner merges are gathered
-// elsewhere.
-func (f *Forwarder) Plan(r *executor.Request, upstream int, away []dispatch.CrossZoneShard) []executor.Group {
+// Plan implements executor.Gatherer. It plans groups only for requests whose parts a
+// combiner merges.
+func (f *Forwarder) Plan(r *executor.Request, upstream int, crossZone []dispatch.CrossZoneShard) []executor.Group {
 	if r.Service.Config.TopK <= 0 {
 		return nil
 	}
 	now := time.Now()
-	able := func(zone string) bool { return zone != f.config.Zone && len(f.config.Fleet.Gatherers(zone, now)) > 0 }
-	var out []executor.Group
-	for _, g := range gather.PlanGroups(zonesOf(r.View, away), able, rand.IntN) {
-		out = append(out, executor.Group{Zone: g.Zone, Group: query.Group{Upstream: upstream, Ranges: rangesOf(&r.View.Upstreams[upstream], g.Shards)}})
+	hasGatherer := func(zone string) bool { return zone != f.config.Zone && len(f.config.Fleet.Gatherers(zone, now)) > 0 }
+	var groups []executor.Group
+	for _, g := range gather.PlanGroups(remoteShards(r.View, crossZone), hasGatherer, rand.IntN) {
+		groups = append(groups, executor.Group{Zone: g.Zone, Group: query.Group{Upstream: upstream, Ranges: shardRanges(&r.View.Upstreams[upstream], g.Shards)}})
 	}
-	return out
+	return groups
 }
 
-// zonesOf tells in which zones shards could be gathered.
-func zonesOf(v *view.View, away []dispatch.CrossZoneShard) []gather.RemoteShard {
-	out := make([]gather.RemoteShard, 0, len(away))
-	for _, a := range away {
-		s := gather.RemoteShard{Index: a.Shard}
-		for _, leaf := range a.Leaves {
+// remoteShards returns cross-zone shards with the zones of their leaves, in which they could
+// be gathered.
+func remoteShards(v *view.View, crossZone []dispatch.CrossZoneShard) []gather.RemoteShard {
+	shards := make([]gather.RemoteShard, 0, len(crossZone))
+	for _, c := range crossZone {
+		s := gather.RemoteShard{Index: c.Shard}
+		for _, leaf := range c.Leaves {
 			s.Zones = append(s.Zones, v.Leaves[leaf].Zone)
 		}
-		out = append(out, s)
+		shards = append(shards, s)
 	}
-	return out
+	return shards
 }
 
-// rangesOf are the keys of some shards, neighbours joined.
-func rangesOf(up *view.Upstream, shards []int) []keyrange.Range {
+// shardRanges returns the key ranges of some shards, adjacent ranges joined.
+func shardRanges(up *view.Upstream, shards []int) []keyrange.Range {
 	var set keyrange.Set
 	for _, s := range shards {
 		set.Add(up.Shards[s].Range)
@@ -68,33 +70,34 @@
 	return set.Ranges()
 }
 
-// errNobody says that a zone has no instance to ask any more.
-var errNobody = errors.New("no instance of the zone is to be asked")
+// errNoGatherer is returned if a zone has no available instance by the time its group is sent.
+var errNoGatherer = errors.New("no instance of the zone is available to gather the group")
 
-// Gather implements executor.Gatherer.
-func (f *Forwarder) Gather(ctx context.Context, r *executor.Request, g executor.Group, sent func() bool, got func(*executor.GatherReply)) error {
-	began := time.Now()
-	err := errNobody
-	for _, to := range candidates(f.config.Fleet.Gatherers(g.Zone, began)) {
-		if err = f.gatherBy(ctx, r, g, to, sent, got); err == nil || took(err) {
+// Gather implements executor.Gatherer. It offers the group to instances of its zone in turn
+// until one accepts it or does not answer in time.
+func (f *Forwarder) Gather(ctx context.Context, r *executor.Request, g executor.Group, accepted func() bool, onReply func(*executor.GatherReply)) error {
+	start := time.Now()
+	err := errNoGatherer
+	for _, to := range pickCandidates(f.config.Fleet.Gatherers(g.Zone, start)) {
+		if err = f.gatherVia(ctx, r, g, to, accepted, onReply); err == nil || mayHaveRun(err) {
 			return err
 		}
-		if silent(err) {
-			break // the time that hand-overs may cost is spent
+		if timedOut(err) {
+			break // the delay allowed for forwarding is used up
 		}
 	}
 	return &executor.NotGatheredError{Err: err}
 }
 
-// gatherBy has a group gathered by one instance.
-func (f *Forwarder) gatherBy(ctx context.Context, r *executor.Request, g executor.Group, to fleet.Instance, sent func() bool, got func(*executor.GatherReply)) error {
+// gatherVia has a group gathered by one instance and passes each of its replies to onReply.
+func (f *Forwarder) gatherVia(ctx context.Context, r *executor.Request, g executor.Group, to fleet.Instance, accepted func() bool, onReply func(*executor.GatherReply)) error {
 	now := time.Now()
-	request := f.forwardRequest(r, now, f.gatherDelays.high())
-	request.Gather = gatherRequest(r, g)
-	reply, err := f.firstReply(ctx, r, to, request, sent)
+	request := f.forwardRequest(r, now, f.gatherDelays.upperBound())
+	request.Gather = encodeGather(r, g)
+	reply, err := f.firstReply(ctx, r, to, request, accepted)
 	f.logGather(ctx, r, g, to, reply, err, time.Since(now))
 	if err != nil {
-		if ctx.Err() == nil && blames(err) {
+		if ctx.Err() == nil && showsUnhealthy(err) {
 			f.config.Fleet.Failed(to, time.Now())
 		}
 		return err
@@ -102,40 +105,40 @@
 	f.config.Fleet.Answered(to)
 	f.gatherDelays.observe(time.Since(now) - time.Duration(reply.RunUS)*time.Microsecond)
 	for {
-		got(gatherReply(reply))
+		onReply(decodeGatherReply(reply))
 		if reply.Gathered == nil || !reply.Gathered.Going {
 			return nil
 		}
-		if reply, err = f.config.Peers.Rest(ctx, targetOf(to), request.ID); err != nil {
+		if reply, err = f.config.Peers.Rest(ctx, peerTarget(to), request.ID); err != nil {
 			return err
 		}
 	}
 }
 
-// targetOf is the address of an instance.
-func targetOf(i fleet.Instance) peer.Target {
+// peerTarget returns the name and address by which the peer client calls an instance.
+func peerTarget(i fleet.Instance) peer.Target {
 	return peer.Target{Instance: i.Name, Address: i.PeerAddress}
 }
 
-// firstReply hands a group over and waits for its first reply.
-func (f *Forwarder) firstReply(ctx context.Context, r *executor.Request, to fleet.Instance, request *peerapi.ForwardRequest, sent func() bool) (*peerapi.ForwardReply, error) {
-	ctx, cancel := context.WithDeadline(ctx, gatheredBy(r))
+// firstReply forwards a group and waits for its first reply.
+func (f *Forwarder) firstReply(ctx context.Context, r *executor.Request, to fleet.Instance, request *peerapi.ForwardRequest, accepted func() bool) (*peerapi.ForwardReply, error) {
+	ctx, cancel := context.WithDeadline(ctx, firstReplyDeadline(r))
 	defer cancel()
-	return f.config.Peers.Forward(ctx, targetOf(to), request, peer.Acceptance{Within: takeWithin, Accepted: sent})
+	return f.config.Peers.Forward(ctx, peerTarget(to), request, peer.Acceptance{Within: gatherAcceptTimeout, Accepted: accepted})
 }
 
-// gatheredBy is when a group of which nothing has come is taken for lost.
-func gatheredBy(r *executor.Request) time.Time {
+// firstReplyDeadline returns when a group without a reply counts as lost.
+func firstReplyDeadline(r *executor.Request) time.Time {
 	objective := r.Service.Config.Objective
-	by := r.Start.Add(time.Duration(gatherObjectives * float64(objective)))
-	if objective > 0 && by.Before(r.Deadline) {
-		return by
+	due := r.Start.Add(time.Duration(firstReplyObjectives * float64(objective)))
+	if objective > 0 && due.Before(r.Deadline) {
+		return due
 	}
 	return r.Deadline
 }
 
-// gatherRequest names a group's shards on the wire.
-func gatherRequest(r *executor.Request, g executor.Group) *peerapi.Gather {
+// encodeGather returns the message that names a group's shards.
+func encodeGather(r *executor.Request, g executor.Group) *peerapi.Gather {
 	up := &r.View.Upstreams[g.Upstream]
 	out := &peerapi.Gather{Service: r.Service.Config.Name, Upstream: up.Name, TopK: r.Service.Config.TopK}
 	for _, k := range g.Ranges {
@@ -144,37 +147,37 @@
 	return out
 }
 
-// gatherReply takes a reply from the wire. One that tells nothing covers nothing.
-func gatherReply(reply *peerapi.ForwardReply) *executor.GatherReply {
+// decodeGatherReply decodes a peer's reply. A reply without gathered parts covers no keys.
+func decodeGatherReply(reply *peerapi.ForwardReply) *executor.GatherReply {
 	g := reply.Gathered
 	if g == nil {
 		return &executor.GatherReply{}
 	}
 	return &executor.GatherReply{
-		Version: g.Index, Ranges: keyRanges(g.Ranges), Going: g.Going, Sent: g.Sent, Hedges: g.Hedges, Retries: g.Retries,
+		Version: g.Index, Ranges: decodeRanges(g.Ranges), Going: g.Going, Sent: g.Sent, Hedges: g.Hedges, Retries: g.Retries,
 		Carried: &gateway.Gathered{Signatures: g.Signatures, Body: reply.Body},
 	}
 }
 
-// keyRanges takes ranges from the wire.
-func keyRanges(list []peerapi.Range) []keyrange.Range {
-	out := make([]keyrange.Range, 0, len(list))
-	for _, r := range list {
+// decodeRanges decodes the key ranges of a peer's message.
+func decodeRanges(ranges []peerapi.Range) []keyrange.Range {
+	out := make([]keyrange.Range, 0, len(ranges))
+	for _, r := range ranges {
 		out = append(out, keyrange.Range{From: r[0], To: r[1]})
 	}
 	return out
 }
 
-// logGather tells what came of a group.
-func (f *Forwarder) logGather(ctx context.Context, r *executor.Request, g executor.Group, to fleet.Instance, reply *peerapi.ForwardReply, err error, spent time.Duration) {
+// logGather logs the first reply to a group, or the error for which there is none.
+func (f *Forwarder) logGather(ctx context.Context, r *executor.Request, g executor.Group, to fleet.Instance, reply *peerapi.ForwardReply, err error, elapsed time.Duration) {
 	d := telemetry.Decision{
-		Part: gatherPart, What: "gathered", Request: r.Passed.ID, Took: spent, Class: telemetry.Routine,
-		More: []any{"by", to.Name, "to_zone", g.Zone, "ranges", len(g.Ranges), "config", r.View.Generation, "forward_delay", f.gatherDelays.high()},
+		Part: gatherLogPrefix, What: "gathered", Request: r.Passed.ID, Took: elapsed, Class: telemetry.Routine,
+		More: []any{"by", to.Name, "to_zone", g.Zone, "ranges", len(g.Ranges), "config", r.View.Generation, "forward_delay", f.gatherDelays.upperBound()},
 	}
 	switch {
 	case err != nil && errors.Is(ctx.Err(), context.Canceled):
 		d.What, d.Why = "group not needed any more", err.Error()
-	case err != nil && took(err):
+	case err != nil && mayHaveRun(err):
 		d.What, d.Why, d.Class = "group lost", err.Error(), telemetry.Failure
 	case err != nil:
 		d.What, d.Why, d.Class = "group not taken", err.Error(), telemetry.Outcome
@@ -185,14 +188,15 @@
 	f.config.Log.Decide(d)
 }
 
-// offerGather says why this instance does not gather a group, or nothing. All parts
-// of an answer are of one set of shards, by which the upstream is named: another version
-// of the configuration that has the same set will do, as while a version spreads.
-func (f *Forwarder) offerGather(v *view.View, r *peerapi.ForwardRequest) string {
+// gatherDeclineReason returns why this instance declines to gather a group, or "" if it
+// accepts it. All parts of an answer must be of one set of shards, and the name of the
+// upstream identifies that set. Another version of the configuration is accepted if it has
+// the same set, because instances have different versions while a new one spreads.
+func (f *Forwarder) gatherDeclineReason(v *view.View, r *peerapi.ForwardRequest) string {
 	if v.Generation < r.Version {
 		f.config.SyncNow()
 	}
-	if onlyOf(v, r.Gather) == nil {
+	if findGroup(v, r.Gather) == nil {
 		return "no such shards"
 	}
 	if v.Services[r.Gather.Service].Config.TopK != r.Gather.TopK {
@@ -201,52 +205,54 @@
 	return ""
 }
 
-// onlyOf finds the shards that are asked for; nil: there are none such.
-func onlyOf(v *view.View, g *peerapi.Gather) []query.Group {
+// findGroup returns the shards that a message names, as a list of one group; nil if the view
+// does not have them.
+func findGroup(v *view.View, g *peerapi.Gather) []query.Group {
 	service := v.Services[g.Service]
 	if service == nil {
 		return nil
 	}
 	for _, i := range service.Upstreams {
 		if v.Upstreams[i].Name == g.Upstream {
-			return []query.Group{{Upstream: i, Ranges: keyRanges(g.Ranges)}}
+			return []query.Group{{Upstream: i, Ranges: decodeRanges(g.Ranges)}}
 		}
 	}
 	return nil
 }
 
-// runGather gathers a group for another instance.
-func (f *Forwarder) runGather(ctx context.Context, v *view.View, r *peerapi.ForwardRequest, handed gateway.Handed) (*peerapi.ForwardReply, peer.Rest) {
-	if why := f.offerGather(v, r); why != "" { // it changed since the offer
-		return &peerapi.ForwardReply{Version: v.Generation, Gathered: &peerapi.Gathered{Refused: why}}, nil
+// runGather gathers a group for another instance. It returns the first reply, and a function
+// that waits for each further one; nil if there are none.
+func (f *Forwarder) runGather(ctx context.Context, v *view.View, r *peerapi.ForwardRequest, received gateway.Handed) (*peerapi.ForwardReply, peer.Rest) {
+	if reason := f.gatherDeclineReason(v, r); reason != "" { // the view has changed since the offer
+		return &peerapi.ForwardReply{Version: v.Generation, Gathered: &peerapi.Gathered{Refused: reason}}, nil
 	}
-	began := time.Now()
+	start := time.Now()
 	gathering := f.gateway.Gather(ctx, v, gateway.Group{
-		Handed: handed, Service: v.Services[r.Gather.Service], Only: onlyOf(v, r.Gather),
+		Handed: received, Service: v.Services[r.Gather.Service], Only: findGroup(v, r.Gather),
 	})
 	next := func(ctx context.Context) (*peerapi.ForwardReply, bool) {
-		reply := gatheredReply(gathering.Next(ctx))
+		reply := encodeGathered(gathering.Next(ctx))
 		reply.Version = v.Generation
-		reply.RunUS = time.Since(began).Microseconds()
+		reply.RunUS = time.Since(start).Microseconds()
 		return reply, reply.Gathered.Going
 	}
-	reply, going := next(ctx)
-	if !going {
+	reply, more := next(ctx)
+	if !more {
 		return reply, nil
 	}
 	return reply, next
 }
 
-// gatheredReply writes what was gathered for the wire.
-func gatheredReply(got *gateway.Gathered, err error) *peerapi.ForwardReply {
+// encodeGathered returns the message with what was gathered, or with the error.
+func encodeGathered(gathered *gateway.Gathered, err error) *peerapi.ForwardReply {
 	if err != nil {
 		return &peerapi.ForwardReply{Gathered: &peerapi.Gathered{Refused: err.Error()}}
 	}
 	out := &peerapi.Gathered{
-		Index: got.Version, Signatures: got.Signatures, Going: got.Going, Sent: got.Sent, Hedges: got.Hedges, Retries: got.Retries,
+		Index: gathered.Version, Signatures: gathered.Signatures, Going: gathered.Going, Sent: gathered.Sent, Hedges: gathered.Hedges, Retries: gathered.Retries,
 	}
-	for _, k := range got.Ranges {
+	for _, k := range gathered.Ranges {
 		out.Ranges = append(out.Ranges, peerapi.Range{k.From, k.To})
 	}
-	return &peerapi.ForwardReply{Body: got.Body, Gathered: out}
+	return &peerapi.ForwardReply{Body: gathered.Body, Gathered: out}
 }
--- a/entry/hosted/forwarding/gather_test.go
+++ b/entry/hosted/forwarding/gather_test.go
@@ -20,25 +20,25 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/view"
 )
 
-// elsewhere makes an instance of zone z that knows another one, of zone y.
-func elsewhere(t *testing.T, other strong) *fixture {
+// newCrossZoneFixture returns an instance of zone z that knows another one, of zone y.
+func newCrossZoneFixture(t *testing.T, other fakePeer) *fixture {
 	t.Helper()
-	n := weak(t, other)
+	n := newFixture(t, other)
 	list := n.fleet.Stronger(time.Now())
 	list[0].Zone = "y"
 	n.fleet.ApplyStoreList(list, time.Now())
 	return n
 }
 
-// group is the first four shards of a large request, whose leaves are in zone y.
-func group(r *executor.Request) executor.Group {
+// crossZoneGroup returns the first four shards of a large request as a group of zone y.
+func crossZoneGroup(r *executor.Request) executor.Group {
 	return executor.Group{Zone: "y", Group: query.Group{Upstream: r.Service.Upstreams[0], Ranges: []keyrange.Range{{To: 4}}}}
 }
 
-// TestGather checks what becomes of a group, by what the other instance does.
-func TestGather(t *testing.T) { synctest.Test(t, gathers) }
+// TestGather checks the outcome of a group for each behavior of the other instance.
+func TestGather(t *testing.T) { synctest.Test(t, testGather) }
 
-func gathers(t *testing.T) {
+func testGather(t *testing.T) {
 	reply := func(going bool, ranges ...peerapi.Range) *peerapi.ForwardReply {
 		return &peerapi.ForwardReply{Version: 5, Gathered: &peerapi.Gathered{Index: 1, Ranges: ranges, Signatures: []string{"s"}, Going: going}}
 	}
@@ -46,59 +46,60 @@
 	first := func(context.Context) *peerapi.ForwardReply { return reply(true, peerapi.Range{0, 3}) }
 	for _, tc := range []struct {
 		name    string
-		other   strong
+		other   fakePeer
 		replies int
 		err     bool
 		notRun  bool // the error says that nothing ran
-		asked   bool // the other instance is still asked afterwards
+		healthy bool // the other instance still counts as healthy afterwards
 	}{
-		{name: "whole", other: strong{run: whole}, replies: 1, asked: true},
-		{name: "in two replies", replies: 2, asked: true, other: strong{run: first, rest: func(context.Context) (*peerapi.ForwardReply, bool) {
+		{name: "whole", other: fakePeer{run: whole}, replies: 1, healthy: true},
+		{name: "in two replies", replies: 2, healthy: true, other: fakePeer{run: first, rest: func(context.Context) (*peerapi.ForwardReply, bool) {
 			return reply(false, peerapi.Range{3, 4}), false
 		}}},
-		{name: "declined", other: strong{declined: "another configuration", run: whole}, err: true, notRun: true, asked: true},
-		{name: "lost after the first reply", replies: 1, err: true, asked: true, other: strong{run: first, rest: func(ctx context.Context) (*peerapi.ForwardReply, bool) {
+		{name: "declined", other: fakePeer{declined: "another configuration", run: whole}, err: true, notRun: true, healthy: true},
+		{name: "lost after the first reply", replies: 1, err: true, healthy: true, other: fakePeer{run: first, rest: func(ctx context.Context) (*peerapi.ForwardReply, bool) {
 			return reply(false), false
 		}, lost: true}},
 	} {
-		n := elsewhere(t, tc.other)
-		r := large(t)
+		n := newCrossZoneFixture(t, tc.other)
+		r := newLargeRequest(t)
 		var got []*executor.GatherReply
-		err := n.Gather(t.Context(), r, group(r), func() bool { return true }, func(reply *executor.GatherReply) {
+		err := n.Gather(t.Context(), r, crossZoneGroup(r), func() bool { return true }, func(reply *executor.GatherReply) {
 			got = append(got, reply)
 			if tc.other.lost {
-				n.peers.Close() // the other instance ends what it ran on a connection that is lost
+				n.peers.Close() // the other instance ends the runs of a lost connection
 			}
 		})
 		if len(got) != tc.replies || (err != nil) != tc.err {
-			t.Errorf("%s: %d replies and %v, want %d", tc.name, len(got), err, tc.replies)
+			t.Errorf("%s: %d replies and error %v, want %d replies", tc.name, len(got), err, tc.replies)
 		}
-		var not *executor.NotGatheredError
-		if errors.As(err, &not) != tc.notRun {
-			t.Errorf("%s: %v, says that nothing ran: %v", tc.name, err, !tc.notRun)
+		var notGathered *executor.NotGatheredError
+		if errors.As(err, &notGathered) != tc.notRun {
+			t.Errorf("%s: error %v says that nothing ran: %v, want %v", tc.name, err, !tc.notRun, tc.notRun)
 		}
-		if still := len(n.fleet.Gatherers("y", time.Now())) == 1; still != tc.asked {
-			t.Errorf("%s: the other instance is asked again: %v, want %v", tc.name, still, tc.asked)
+		if healthy := len(n.fleet.Gatherers("y", time.Now())) == 1; healthy != tc.healthy {
+			t.Errorf("%s: the other instance counts as healthy: %v, want %v", tc.name, healthy, tc.healthy)
 		}
 	}
 }
 
-// TestGatherByNobody has a group gathered in a zone without instances.
-func TestGatherByNobody(t *testing.T) { synctest.Test(t, gathersByNobody) }
+// TestGatherWithoutInstances checks that a group of a zone without instances is not sent and
+// fails with a NotGatheredError.
+func TestGatherWithoutInstances(t *testing.T) { synctest.Test(t, testGatherWithoutInstances) }
 
-func gathersByNobody(t *testing.T) {
-	n := weak(t, strong{})
-	r := large(t)
-	err := n.Gather(t.Context(), r, group(r), func() bool { t.Error("sent to nobody"); return false }, nil)
-	var not *executor.NotGatheredError
-	if !errors.As(err, &not) {
-		t.Errorf("%v, want a NotGatheredError", err)
+func testGatherWithoutInstances(t *testing.T) {
+	n := newFixture(t, fakePeer{})
+	r := newLargeRequest(t)
+	err := n.Gather(t.Context(), r, crossZoneGroup(r), func() bool { t.Error("the group was accepted in a zone without instances"); return false }, nil)
+	var notGathered *executor.NotGatheredError
+	if !errors.As(err, &notGathered) {
+		t.Errorf("error %v, want a NotGatheredError", err)
 	}
 }
 
-// twoZones is a view of eight shards, of which the even ones have leaves in zone z and
-// the odd ones in zone y, and a request for all of them.
-func twoZones(t *testing.T, version uint64) *executor.Request {
+// newTwoZoneRequest returns a request for all eight shards of a view. The even shards have
+// leaves in zone z and the odd ones in zone y.
+func newTwoZoneRequest(t *testing.T, version uint64) *executor.Request {
 	t.Helper()
 	c := catalog.New(catalog.Settings{})
 	now := time.Now()
@@ -112,42 +113,44 @@
 	c.ApplyConfig(&catalog.Config{Version: version, Routes: []*catalog.Route{{Name: "r", Host: "h", Prefix: "/", Idempotent: true, Timeout: time.Minute, Shards: shards, TopK: 1}}}, now, now)
 	c.ApplyLeaves(catalog.Listing{Leaves: leaves, Revision: 1}, now, now)
 	v := view.Build(version, "", c.Document(), c.Draining, func(*document.Upstream, string) int { return 1 })
-	r := large(t)
+	r := newLargeRequest(t)
 	r.View, r.Service = v, v.Services["r"]
 	return r
 }
 
-// TestPlanNamesWhatIsAway plans a request by the zones of the leaves that it would ask.
-func TestPlanNamesWhatIsAway(t *testing.T) { synctest.Test(t, plansWhatIsAway) }
+// TestPlanGroupsCrossZoneShards checks that the cross-zone shards of a request form a group
+// of their zone, unless they are too few or no combiner merges their parts.
+func TestPlanGroupsCrossZoneShards(t *testing.T) { synctest.Test(t, testPlanGroupsCrossZoneShards) }
 
-func plansWhatIsAway(t *testing.T) {
-	n := elsewhere(t, strong{})
-	r := twoZones(t, 5)
-	var away []dispatch.CrossZoneShard
+func testPlanGroupsCrossZoneShards(t *testing.T) {
+	n := newCrossZoneFixture(t, fakePeer{})
+	r := newTwoZoneRequest(t, 5)
+	var crossZone []dispatch.CrossZoneShard
 	for _, shard := range []int{1, 3, 5, 7} {
-		away = append(away, dispatch.CrossZoneShard{Shard: shard, Leaves: r.View.Upstreams[0].Shards[shard].Leaves})
+		crossZone = append(crossZone, dispatch.CrossZoneShard{Shard: shard, Leaves: r.View.Upstreams[0].Shards[shard].Leaves})
 	}
-	got := n.Plan(r, 0, away)
+	got := n.Plan(r, 0, crossZone)
 	want := []keyrange.Range{{From: 1, To: 2}, {From: 3, To: 4}, {From: 5, To: 6}, {From: 7, To: 8}}
 	if len(got) != 1 || got[0].Zone != "y" || !slices.Equal(got[0].Ranges, want) {
 		t.Errorf("planned %v, want one group of zone y with %v", got, want)
 	}
-	if got := n.Plan(r, 0, away[:3]); got != nil {
-		t.Errorf("%v is planned of three shards", got)
+	if got := n.Plan(r, 0, crossZone[:3]); got != nil {
+		t.Errorf("planned %v for three shards, want none", got)
 	}
 	r.Service.Config.TopK = 0
-	if got := n.Plan(r, 0, away); got != nil {
-		t.Errorf("%v is planned of parts that nothing merges", got)
+	if got := n.Plan(r, 0, crossZone); got != nil {
+		t.Errorf("planned %v for parts that no combiner merges, want none", got)
 	}
 }
 
-// TestGatherIsOfOneSetOfShards offers groups of other configurations and shards: another
-// version with the same set of shards will do, another set or number of records won't.
-func TestGatherIsOfOneSetOfShards(t *testing.T) { synctest.Test(t, offersSetsOfShards) }
+// TestGatherDeclinesOtherShardSet offers groups of other configurations and shards. A group
+// of another version with the same set of shards is accepted; one of another set or number
+// of records is declined.
+func TestGatherDeclinesOtherShardSet(t *testing.T) { synctest.Test(t, testGatherDeclinesOtherShardSet) }
 
-func offersSetsOfShards(t *testing.T) {
-	n := elsewhere(t, strong{})
-	r := twoZones(t, 5)
+func testGatherDeclinesOtherShardSet(t *testing.T) {
+	n := newCrossZoneFixture(t, fakePeer{})
+	r := newTwoZoneRequest(t, 5)
 	n.view = r.View
 	n.lifecycle.Serve()
 	name := r.View.Upstreams[0].Name
@@ -169,10 +172,10 @@
 			t.Errorf("%s: %q, want %q", tc.name, got, tc.declined)
 		}
 	}
-	handed := gateway.Handed{Start: time.Now(), Deadline: time.Now().Add(time.Minute), Passed: r.Passed}
-	gone := &peerapi.ForwardRequest{Version: 5, Gather: &peerapi.Gather{Service: "r", Upstream: "set-that-was", TopK: 1}}
-	if reply, rest := n.runGather(t.Context(), r.View, gone, handed); rest != nil || reply.Gathered.Refused == "" || len(reply.Gathered.Ranges) != 0 {
-		t.Errorf("a set of shards that is gone since the offer: %+v", reply.Gathered)
+	received := gateway.Handed{Start: time.Now(), Deadline: time.Now().Add(time.Minute), Passed: r.Passed}
+	removed := &peerapi.ForwardRequest{Version: 5, Gather: &peerapi.Gather{Service: "r", Upstream: "set-that-was", TopK: 1}}
+	if reply, rest := n.runGather(t.Context(), r.View, removed, received); rest != nil || reply.Gathered.Refused == "" || len(reply.Gathered.Ranges) != 0 {
+		t.Errorf("a set of shards that was removed after the offer is not refused: %+v", reply.Gathered)
 	}
 }
 
--- a/entry/hosted/forwarding/relay.go
+++ b/entry/hosted/forwarding/relay.go
@@ -19,85 +19,89 @@
 )
 
 const (
-	// acceptWithin is how long the other instance may take to accept. It is in the
-	// same zone and takes far less than a millisecond unless it is gone or busy.
-	acceptWithin = 15 * time.Millisecond
-	// leastFirstDelay is kept for handing a request over and its answer back, before that
-	// has been measured, on an instance with a whole core.
-	leastFirstDelay = 5 * time.Millisecond
-	// forwardWork is the processor time that it takes on a whole core: an instance with a
-	// small share of one takes longer, and the first answers after its start would be late.
-	forwardWork = 2400 * time.Microsecond
-	// crossZone is what a hand-over to another zone takes more.
-	crossZone = 3 * time.Millisecond
-	// mostForwardDelay bounds what is kept: a hand-over during which an instance stood still
-	// says nothing of the next, which must have its time to run.
-	mostForwardDelay = 30 * time.Millisecond
-	// relayPart is the prefix of lines about requests that are handed over.
-	relayPart = "relay"
+	// acceptTimeout is how long an instance of the same zone may take to accept a request.
+	// It takes far less than a millisecond unless it is gone or busy.
+	acceptTimeout = 15 * time.Millisecond
+	// minInitialDelay is the delay that an instance with a whole core allows for forwarding a
+	// request and returning its answer, before it has measured any.
+	minInitialDelay = 5 * time.Millisecond
+	// forwardCPUTime is the processor time of forwarding one request, that is, its duration on
+	// a whole core. An instance with a small share of a core takes longer, and without an
+	// allowance for that the first answers after its start would be late.
+	forwardCPUTime = 2400 * time.Microsecond
+	// crossZoneDelay is the additional delay of forwarding to another zone.
+	crossZoneDelay = 3 * time.Millisecond
+	// maxForwardDelay limits the estimated delay. A request during which an instance was
+	// stalled says nothing about the next one, which needs the time for its run.
+	maxForwardDelay = 30 * time.Millisecond
+	// relayLogPrefix is the prefix of log lines about forwarded requests.
+	relayLogPrefix = "relay"
 )
 
-// Relay implements gateway.Relay: an instance with little processor hands a query
-// over many shards to a stronger one of its zone. Whatever goes wrong before that
-// one has accepted, this instance runs the request itself.
+// Relay implements gateway.Relay. It forwards an idempotent query over many shards to an
+// instance of the zone with a larger share of a core. It returns nil if no instance has
+// accepted the request; this instance runs it then.
 func (f *Forwarder) Relay(ctx context.Context, r *executor.Request) *gateway.Reply {
 	if !fleet.ShouldForward(r.Service.Shards) || !r.Service.Config.Idempotent {
 		return nil
 	}
-	began := time.Now()
-	for _, to := range candidates(f.config.Fleet.Stronger(began)) {
+	start := time.Now()
+	for _, to := range pickCandidates(f.config.Fleet.Stronger(start)) {
 		now := time.Now()
-		reply, err := f.handOver(ctx, to, r, now)
+		reply, err := f.forwardTo(ctx, to, r, now)
 		f.logRelay(ctx, r, to, err, time.Since(now))
 		if err == nil {
 			f.config.Fleet.Answered(to)
-			return f.relayed(r, reply, now)
+			return f.relayedReply(r, reply, now)
 		}
-		if ctx.Err() == nil && blames(err) && time.Now().Before(r.Deadline) {
+		if ctx.Err() == nil && showsUnhealthy(err) && time.Now().Before(r.Deadline) {
 			f.config.Fleet.Failed(to, now)
 		}
-		if took(err) {
-			return lostReply(r.Deadline)
+		if mayHaveRun(err) {
+			return instanceLostReply(r.Deadline)
 		}
-		if silent(err) {
-			break // the time that hand-overs may cost is spent
+		if timedOut(err) {
+			break // the delay allowed for forwarding is used up
 		}
 	}
 	return nil
 }
 
-// mostOffers is the number of instances that are offered one request or group: while
-// instances stop in turn and versions come, some decline at once, and the one that asks
-// may have no connections for it.
-const mostOffers = 3
+// maxOffers is the number of instances that are offered one request or group. During a
+// rolling restart or while a configuration version spreads, some instances decline at once,
+// and this instance may have no connection to others.
+const maxOffers = 3
 
-// candidates are the instances to offer to, in a random order.
-func candidates(list []fleet.Instance) []fleet.Instance {
+// pickCandidates shuffles a list of instances in place and returns those that are offered a
+// request, at most maxOffers.
+func pickCandidates(list []fleet.Instance) []fleet.Instance {
 	rand.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
-	return list[:min(len(list), mostOffers)]
+	return list[:min(len(list), maxOffers)]
 }
 
-// relayed is the answer that another instance gave to a request handed over at a time.
-func (f *Forwarder) relayed(r *executor.Request, reply *peerapi.ForwardReply, handed time.Time) *gateway.Reply {
+// relayedReply returns the reply to the client from that of another instance, to which the
+// request was sent at the given time. When it has been written, its delay is observed.
+func (f *Forwarder) relayedReply(r *executor.Request, reply *peerapi.ForwardReply, sentAt time.Time) *gateway.Reply {
 	if reply.Version > r.View.Generation {
 		f.config.SyncNow()
 	}
 	return &gateway.Reply{
 		Status: reply.Status, Header: reply.Header, Body: reply.Body,
 		Written: func(at time.Time) {
-			f.forwardDelays.observe(at.Sub(handed) - time.Duration(reply.RunUS)*time.Microsecond)
+			f.forwardDelays.observe(at.Sub(sentAt) - time.Duration(reply.RunUS)*time.Microsecond)
 		},
 	}
 }
 
-// handOver offers a request to another instance and has it run there.
-func (f *Forwarder) handOver(ctx context.Context, to fleet.Instance, r *executor.Request, now time.Time) (*peerapi.ForwardReply, error) {
+// forwardTo offers a request to another instance and waits for the reply of its run there.
+func (f *Forwarder) forwardTo(ctx context.Context, to fleet.Instance, r *executor.Request, now time.Time) (*peerapi.ForwardReply, error) {
 	ctx, cancel := context.WithDeadline(ctx, r.Deadline)
 	defer cancel()
-	return f.config.Peers.Forward(ctx, targetOf(to), f.forwardRequest(r, now, f.forwardDelays.high()), peer.Acceptance{Within: acceptWithin})
+	return f.config.Peers.Forward(ctx, peerTarget(to), f.forwardRequest(r, now, f.forwardDelays.upperBound()), peer.Acceptance{Within: acceptTimeout})
 }
 
-// forwardRequest is a request as it is handed over now, and reaches the other instance after a delay.
+// forwardRequest returns the message that forwards a request now. The times in it are those
+// when the other instance has received it, after the given delay.
 func (f *Forwarder) forwardRequest(r *executor.Request, now time.Time, delay time.Duration) *peerapi.ForwardRequest {
 	p := r.Passed
 	return &peerapi.ForwardRequest{
@@ -107,52 +111,53 @@
 	}
 }
 
-// took reports whether the other instance had taken the request over.
-func took(err error) bool {
+// mayHaveRun reports whether an error came after the other instance had accepted the request.
+// The request may have run then.
+func mayHaveRun(err error) bool {
 	var notAccepted *peer.NotAcceptedError
 	return !errors.As(err, &notAccepted)
 }
 
-// silent reports whether the other instance did not answer in time.
-func silent(err error) bool { return errors.Is(err, context.DeadlineExceeded) }
+// timedOut reports whether the other instance did not answer in time.
+func timedOut(err error) bool { return errors.Is(err, context.DeadlineExceeded) }
 
-// blames reports whether an error shows that the other instance is not well. One
-// that declines is.
-func blames(err error) bool {
+// showsUnhealthy reports whether an error suggests that the other instance is unhealthy. An
+// instance that declines is healthy.
+func showsUnhealthy(err error) bool {
 	var declined *peer.DeclinedError
 	return !errors.As(err, &declined)
 }
 
-// logRelay tells what came of handing a request over.
-func (f *Forwarder) logRelay(ctx context.Context, r *executor.Request, to fleet.Instance, err error, spent time.Duration) {
+// logRelay logs the outcome of forwarding a request to one instance.
+func (f *Forwarder) logRelay(ctx context.Context, r *executor.Request, to fleet.Instance, err error, elapsed time.Duration) {
 	d := telemetry.Decision{
-		Part: relayPart, What: "handed over", Request: r.Passed.ID, Took: spent,
-		More: []any{"to", to.Name, "config", r.View.Generation, "way", r.Way, "forward_delay", f.forwardDelays.high()}, Class: telemetry.Outcome,
+		Part: relayLogPrefix, What: "handed over", Request: r.Passed.ID, Took: elapsed,
+		More: []any{"to", to.Name, "config", r.View.Generation, "way", r.Way, "forward_delay", f.forwardDelays.upperBound()}, Class: telemetry.Outcome,
 	}
 	if err != nil {
 		d.Why = err.Error()
-		d.What, d.Class = handedOverEnd(ctx, err)
+		d.What, d.Class = classifyForwardError(ctx, err)
 	}
 	f.config.Log.Decide(d)
 }
 
-// handedOverEnd says what an error of a hand-over means. A client that has left ends it
-// too, which says nothing of the other instance: its lines hid those of instances that
-// were lost.
-func handedOverEnd(ctx context.Context, err error) (what string, class telemetry.Class) {
+// classifyForwardError returns the log text and class for an error of forwarding a request.
+// A client that disconnects ends the request, too, and says nothing about the other
+// instance: logged as a failure, it would hide the lines of instances that were lost.
+func classifyForwardError(ctx context.Context, err error) (what string, class telemetry.Class) {
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled):
 		return "ended with its client", telemetry.Outcome
-	case took(err):
+	case mayHaveRun(err):
 		return "lost where it was handed over", telemetry.Failure
 	default:
 		return "not handed over", telemetry.Failure
 	}
 }
 
-// lostReply answers a request of which the other instance was lost: it may have
-// run, and neither status says otherwise.
-func lostReply(deadline time.Time) *gateway.Reply {
+// instanceLostReply returns the reply to a request whose instance was lost while it ran: 502,
+// or 504 after the deadline. The request may have run, which neither status rules out.
+func instanceLostReply(deadline time.Time) *gateway.Reply {
 	status := http.StatusBadGateway
 	if !time.Now().Before(deadline) {
 		status = http.StatusGatewayTimeout
@@ -160,17 +165,18 @@
 	return &gateway.Reply{Status: status, Header: make(http.Header), Body: []byte("the instance that ran the request was lost\n")}
 }
 
-// Offer implements peer.ForwardHandler. A request is declined where this instance takes none
-// from clients any more, or knows only an older configuration than the one by which it came in.
-// One that leaves still takes requests: all stronger ones of a zone may leave at once, for as
-// long as the balancer takes to let go.
+// Offer implements peer.ForwardHandler. A request is declined if this instance refuses
+// requests of clients, has no route for it, or has an older configuration than the sender.
+// For groups, see gatherDeclineReason. An instance in the leaving phase still accepts
+// requests: all the larger instances of a zone may leave at the same time, and stay in that
+// phase until the load balancer has stopped sending them requests.
 func (f *Forwarder) Offer(_ string, r *peerapi.ForwardRequest) string {
 	v := f.config.Views.View()
 	switch {
 	case v == nil || f.config.Lifecycle.Refusing():
 		return "not serving"
 	case r.Gather != nil:
-		return f.offerGather(v, r)
+		return f.gatherDeclineReason(v, r)
 	case v.Generation < r.Version:
 		f.config.SyncNow()
 		return "older configuration"
@@ -184,47 +190,48 @@
 func (f *Forwarder) RunOffered(ctx context.Context, r *peerapi.ForwardRequest) (*peerapi.ForwardReply, peer.Rest) {
 	v := f.config.Views.View()
 	now := time.Now()
-	handed := gateway.Handed{
+	received := gateway.Handed{
 		Passed: &leafclient.Passed{ID: r.Request, Method: r.Method, Target: r.Target, Host: r.Host, Header: r.Header, Body: r.Body},
 		Start:  now.Add(-time.Duration(r.SpentUS) * time.Microsecond), Deadline: now.Add(time.Duration(r.LeftUS) * time.Microsecond),
 		Way: time.Duration(r.WayUS) * time.Microsecond,
 	}
 	if r.Gather != nil {
-		return f.runGather(ctx, v, r, handed)
+		return f.runGather(ctx, v, r, received)
 	}
-	reply := f.gateway.Run(ctx, v, handed)
+	reply := f.gateway.Run(ctx, v, received)
 	return &peerapi.ForwardReply{
 		Version: v.Generation, Status: reply.Status, Header: reply.Header, Body: reply.Body, RunUS: time.Since(now).Microseconds(),
 	}, nil
 }
 
-// delayEstimate guards by a lock what is known of the time that a hand-over takes beside
-// the run itself: the two calls and the writing of the answer, which on a fifth of
-// a core takes longer than the way.
+// delayEstimate estimates the delay that forwarding adds to the run itself: the two calls to
+// the other instance and the writing of the answer, which on a fifth of a core takes longer
+// than the network. It is safe for concurrent use.
 type delayEstimate struct {
-	first    time.Duration // assumed before anything was observed
+	initial  time.Duration // assumed before the first observation
 	mu       sync.Mutex
 	estimate margin.DelayEstimator
 }
 
-// firstDelay is what is assumed of a hand-over by an instance with a share of a core.
-func firstDelay(power float64) time.Duration {
-	if power <= 0 {
-		return leastFirstDelay
+// initialDelay returns the delay of forwarding that an instance with a number of cores
+// assumes before it has measured any; 0 cores are unknown.
+func initialDelay(cpus float64) time.Duration {
+	if cpus <= 0 {
+		return minInitialDelay
 	}
-	return min(max(leastFirstDelay, time.Duration(float64(forwardWork)/power)), mostForwardDelay)
+	return min(max(minInitialDelay, time.Duration(float64(forwardCPUTime)/cpus)), maxForwardDelay)
 }
 
-// observe takes one hand-over's time.
-func (h *delayEstimate) observe(d time.Duration) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.estimate.Observe(min(d, mostForwardDelay))
+// observe adds the delay of one forwarded request or group.
+func (e *delayEstimate) observe(d time.Duration) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.estimate.Observe(min(d, maxForwardDelay))
 }
 
-// high is what most hand-overs do not exceed.
-func (h *delayEstimate) high() time.Duration {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return min(h.estimate.UpperBound(h.first), mostForwardDelay)
+// upperBound returns a delay that most forwarded requests or groups do not exceed.
+func (e *delayEstimate) upperBound() time.Duration {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return min(e.estimate.UpperBound(e.initial), maxForwardDelay)
 }
--- a/entry/hosted/forwarding/relay_test.go
+++ b/entry/hosted/forwarding/relay_test.go
@@ -27,28 +27,28 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// strong is a stronger instance as a test plays it.
-type strong struct {
+// fakePeer is another instance with the behavior that a test sets.
+type fakePeer struct {
 	declined string
 	run      func(ctx context.Context) *peerapi.ForwardReply
 	rest     peer.Rest
-	lost     bool // its connection is lost after the first reply
+	lost     bool // the connection to it is lost after the first reply
 }
 
-func (s strong) Offer(string, *peerapi.ForwardRequest) string { return s.declined }
+func (p fakePeer) Offer(string, *peerapi.ForwardRequest) string { return p.declined }
 
-func (s strong) RunOffered(ctx context.Context, _ *peerapi.ForwardRequest) (*peerapi.ForwardReply, peer.Rest) {
-	return s.run(ctx), s.rest
+func (p fakePeer) RunOffered(ctx context.Context, _ *peerapi.ForwardRequest) (*peerapi.ForwardReply, peer.Rest) {
+	return p.run(ctx), p.rest
 }
 
-// serve runs a stronger instance and returns its address and its end.
-func (s strong) serve(t *testing.T, network *peertest.Network, name string) (address string, end func()) {
+// serve starts a peer server and returns its address and a function that stops it.
+func (p fakePeer) serve(t *testing.T, network *peertest.Network, name string) (address string, stop func()) {
 	t.Helper()
 	l := network.Listen()
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() {
-		done <- peer.NewServer(peer.ServerConfig{Instance: name, Key: []byte("k"), Forward: s}).Serve(ctx, l)
+		done <- peer.NewServer(peer.ServerConfig{Instance: name, Key: []byte("k"), Forward: p}).Serve(ctx, l)
 	}()
 	return l.Addr().String(), func() {
 		cancel()
@@ -58,7 +58,7 @@
 	}
 }
 
-// fixture is an instance that hands over, as far as that needs one.
+// fixture is an instance with a Forwarder and the parts that the Forwarder depends on.
 type fixture struct {
 	*Forwarder
 	fleet     *fleet.Fleet
@@ -70,12 +70,12 @@
 // View implements Views.
 func (n *fixture) View() *view.View { return n.view }
 
-// fleetSettings are the times of the fleet in these tests.
 var fleetSettings = fleet.Settings{ForgetAfter: time.Minute, PeerBackoff: 3 * time.Second, MaxPeerBackoff: time.Minute}
 
-// weak makes an instance that knows stronger ones of its zone: "strong", "strong-1" and so on.
-// Whoever accepts late is passed over, so it is called in a bubble of virtual time.
-func weak(t *testing.T, known ...strong) *fixture {
+// newFixture returns an instance with a small share of a core that knows larger ones of its
+// zone, "strong", "strong-1" and so on. Tests that forward requests call it in a synctest
+// bubble, since a peer that accepts after the timeout would be skipped.
+func newFixture(t *testing.T, known ...fakePeer) *fixture {
 	t.Helper()
 	log, err := telemetry.NewLog(io.Discard, telemetry.Options{Level: "info"})
 	if err != nil {
@@ -88,35 +88,35 @@
 	}
 	n.Forwarder = New(Config{Zone: "z", Fleet: n.fleet, Views: n, Lifecycle: &n.lifecycle, Peers: n.peers, Log: log, SyncNow: func() {}})
 	var list []fleet.Instance
-	var ends []func()
-	for i, s := range known {
+	var stops []func()
+	for i, p := range known {
 		name := "strong"
 		if i > 0 {
 			name = fmt.Sprintf("strong-%d", i)
 		}
-		address, end := s.serve(t, network, name)
+		address, stop := p.serve(t, network, name)
 		list = append(list, fleet.Instance{Name: name, Zone: "z", CPUs: 0.8, PeerAddress: address})
-		ends = append(ends, end)
+		stops = append(stops, stop)
 	}
 	n.fleet.ApplyStoreList(list, time.Now())
 	t.Cleanup(func() {
 		n.peers.Close()
 		log.Close()
-		for _, end := range ends {
-			end()
+		for _, stop := range stops {
+			stop()
 		}
 	})
 	return n
 }
 
-// largeShards is a number of shards from which queries are handed over.
-const largeShards = 30
+// largeQueryShards is a number of shards with which a query is forwarded.
+const largeQueryShards = 30
 
-// large is a request over enough shards to be handed over.
-func large(t *testing.T) *executor.Request {
+// newLargeRequest returns a request over enough shards to be forwarded.
+func newLargeRequest(t *testing.T) *executor.Request {
 	t.Helper()
 	var shards []string
-	for i := range largeShards {
+	for i := range largeQueryShards {
 		shards = append(shards, string(rune('A'+i)))
 	}
 	c := catalog.New(catalog.Settings{})
@@ -129,33 +129,34 @@
 	}
 }
 
-// TestRelay checks who answers a large query, and who is passed over for the next.
-func TestRelay(t *testing.T) { synctest.Test(t, relays) }
+// TestRelay checks which instance answers a large query, and whether the other instance
+// still counts as healthy for the next one.
+func TestRelay(t *testing.T) { synctest.Test(t, testRelay) }
 
-func relays(t *testing.T) {
+func testRelay(t *testing.T) {
 	answer := func(context.Context) *peerapi.ForwardReply {
 		return &peerapi.ForwardReply{Version: 5, Status: http.StatusOK, Body: []byte("x")}
 	}
 	for _, tc := range []struct {
-		name   string
-		strong strong
-		gone   bool // the client leaves while it runs
-		status int  // 0: this instance runs it
-		asked  bool // the stronger one is still asked afterwards
+		name         string
+		peer         fakePeer
+		disconnected bool // the client disconnects during the run
+		status       int  // 0: this instance runs the request
+		healthy      bool // the other instance still counts as healthy afterwards
 	}{
-		{name: "taken over", strong: strong{run: answer}, status: http.StatusOK, asked: true},
-		{name: "declined", strong: strong{declined: "older configuration", run: answer}, asked: true},
-		{name: "the client leaves", gone: true, status: http.StatusBadGateway, asked: true, strong: strong{run: func(ctx context.Context) *peerapi.ForwardReply {
+		{name: "taken over", peer: fakePeer{run: answer}, status: http.StatusOK, healthy: true},
+		{name: "declined", peer: fakePeer{declined: "older configuration", run: answer}, healthy: true},
+		{name: "the client leaves", disconnected: true, status: http.StatusBadGateway, healthy: true, peer: fakePeer{run: func(ctx context.Context) *peerapi.ForwardReply {
 			<-ctx.Done()
 			return &peerapi.ForwardReply{}
 		}}},
 	} {
-		n := weak(t, tc.strong)
+		n := newFixture(t, tc.peer)
 		ctx, cancel := context.WithCancel(t.Context())
-		if tc.gone {
+		if tc.disconnected {
 			time.AfterFunc(50*time.Millisecond, cancel)
 		}
-		reply := n.Relay(ctx, large(t))
+		reply := n.Relay(ctx, newLargeRequest(t))
 		cancel()
 		status := 0
 		if reply != nil {
@@ -164,83 +165,86 @@
 		if status != tc.status {
 			t.Errorf("%s: status %d, want %d", tc.name, status, tc.status)
 		}
-		if got := len(n.fleet.Stronger(time.Now())) == 1; got != tc.asked {
-			t.Errorf("%s: the stronger instance is asked again: %v, want %v", tc.name, got, tc.asked)
+		if healthy := len(n.fleet.Stronger(time.Now())) == 1; healthy != tc.healthy {
+			t.Errorf("%s: the other instance counts as healthy: %v, want %v", tc.name, healthy, tc.healthy)
 		}
 	}
 }
 
-// TestRelayAsksAnother has one of two stronger instances decline, as one does that stops:
-// each request is taken over by the other.
-func TestRelayAsksAnother(t *testing.T) { synctest.Test(t, asksAnother) }
+// TestRelayTriesNextInstance has one of two instances decline all requests, as a stopping
+// instance does. Each request must run on the other one.
+func TestRelayTriesNextInstance(t *testing.T) { synctest.Test(t, testRelayTriesNextInstance) }
 
-func asksAnother(t *testing.T) {
+func testRelayTriesNextInstance(t *testing.T) {
 	answer := func(context.Context) *peerapi.ForwardReply {
 		return &peerapi.ForwardReply{Version: 5, Status: http.StatusOK, Body: []byte("x")}
 	}
-	n := weak(t, strong{declined: "not serving", run: answer}, strong{run: answer})
+	n := newFixture(t, fakePeer{declined: "not serving", run: answer}, fakePeer{run: answer})
 	for i := range 20 {
-		if reply := n.Relay(t.Context(), large(t)); reply == nil || reply.Status != http.StatusOK {
-			t.Fatalf("request %d was run by the weak instance", i)
+		if reply := n.Relay(t.Context(), newLargeRequest(t)); reply == nil || reply.Status != http.StatusOK {
+			t.Fatalf("request %d was not run by the other instance that accepts", i)
 		}
 	}
 }
 
-// TestRelayErrors checks what errors say of the other instance.
-func TestRelayErrors(t *testing.T) {
+// TestClassifyPeerErrors checks which errors leave open whether the request ran, and which
+// suggest that the other instance is unhealthy.
+func TestClassifyPeerErrors(t *testing.T) {
 	declined := &peer.NotAcceptedError{Err: &peer.DeclinedError{Reason: "not serving"}}
-	silent := &peer.NotAcceptedError{Err: context.DeadlineExceeded}
+	timedOut := &peer.NotAcceptedError{Err: context.DeadlineExceeded}
 	lost := &peer.UnreachableError{Err: errors.New("reset")}
 	for _, tc := range []struct {
-		err          error
-		took, blames bool
-	}{{declined, false, false}, {silent, false, true}, {lost, true, true}} {
-		if took(tc.err) != tc.took || blames(tc.err) != tc.blames {
-			t.Errorf("%v: took %v, blames %v", tc.err, took(tc.err), blames(tc.err))
+		err                        error
+		mayHaveRun, showsUnhealthy bool
+	}{{declined, false, false}, {timedOut, false, true}, {lost, true, true}} {
+		if mayHaveRun(tc.err) != tc.mayHaveRun || showsUnhealthy(tc.err) != tc.showsUnhealthy {
+			t.Errorf("%v: may have run %v, shows unhealthy %v", tc.err, mayHaveRun(tc.err), showsUnhealthy(tc.err))
 		}
 	}
 }
 
-// TestHandedOverEnd tells a client that has left from an instance that was lost.
-func TestHandedOverEnd(t *testing.T) {
-	gone, cancel := context.WithCancel(t.Context())
+// TestClassifyForwardError checks that the logs tell a client that has disconnected from an
+// instance that was lost.
+func TestClassifyForwardError(t *testing.T) {
+	disconnected, cancel := context.WithCancel(t.Context())
 	cancel()
 	lost := &peer.UnreachableError{Err: errors.New("reset")}
-	silent := &peer.NotAcceptedError{Err: context.DeadlineExceeded}
+	timedOut := &peer.NotAcceptedError{Err: context.DeadlineExceeded}
 	for _, tc := range []struct {
 		ctx  context.Context
 		err  error
 		what string
 	}{
-		{gone, lost, "ended with its client"},
-		{gone, silent, "ended with its client"},
+		{disconnected, lost, "ended with its client"},
+		{disconnected, timedOut, "ended with its client"},
 		{t.Context(), lost, "lost where it was handed over"},
-		{t.Context(), silent, "not handed over"},
+		{t.Context(), timedOut, "not handed over"},
 	} {
-		if what, _ := handedOverEnd(tc.ctx, tc.err); what != tc.what {
+		if what, _ := classifyForwardError(tc.ctx, tc.err); what != tc.what {
 			t.Errorf("%v: %q, want %q", tc.err, what, tc.what)
 		}
 	}
 }
 
-// TestForwardDelayIsBounded lets one hand-over take seconds: the next still gets its time.
+// TestForwardDelayIsBounded observes one delay of seconds, after which the next request must
+// still have time for its run.
 func TestForwardDelayIsBounded(t *testing.T) {
-	h := delayEstimate{first: leastFirstDelay}
-	if got := h.high(); got != leastFirstDelay {
-		t.Errorf("%v before anything is known, want %v", got, leastFirstDelay)
+	e := delayEstimate{initial: minInitialDelay}
+	if got := e.upperBound(); got != minInitialDelay {
+		t.Errorf("delay %v before the first observation, want %v", got, minInitialDelay)
 	}
 	for range 20 {
-		h.observe(4 * time.Millisecond)
+		e.observe(4 * time.Millisecond)
 	}
-	before := h.high()
-	h.observe(3 * time.Second)
-	if got := h.high(); got > mostForwardDelay {
-		t.Errorf("%v is kept after a hand-over of 3 s, want at most %v", got, mostForwardDelay)
+	before := e.upperBound()
+	e.observe(3 * time.Second)
+	if got := e.upperBound(); got > maxForwardDelay {
+		t.Errorf("delay %v after an observation of 3 s, want at most %v", got, maxForwardDelay)
 	}
 	for range 40 {
-		h.observe(4 * time.Millisecond)
+		e.observe(4 * time.Millisecond)
 	}
-	if got := h.high(); got > before+time.Millisecond {
-		t.Errorf("%v is still kept, %v was before", got, before)
+	if got := e.upperBound(); got > before+time.Millisecond {
+		t.Errorf("delay %v after 40 short observations, want about the %v before the long one", got, before)
 	}
 }
