--- a/entry/hosted/statesync/config.go
+++ b/entry/hosted/statesync/config.go
@@ -11,27 +11,31 @@
 )
 
 const (
-	// maxPastConfigs bounds the earlier versions from which changes are sent.
-	maxPastConfigs = 4
-	// maxChangedShare is the share of the routes above which a version is sent whole.
-	maxChangedShare = 0.25
+	// maxBaseConfigs limits the number of earlier versions from which changes are sent.
+	maxBaseConfigs = 4
+	// maxChangeShare is the size of a change, as a share of the number of routes, above which
+	// the whole configuration is sent.
+	maxChangeShare = 0.25
 )
 
-// configState is a configuration as this instance sends it to others. What a peer needs of it
-// is encoded when one first asks: most instances are asked by nobody.
+// configState is a configuration as this instance sends it to others. It is hashed and
+// encoded on the first request that needs it, since no other instance syncs from most
+// instances.
 type configState struct {
 	config *catalog.Config
 	hash   func() uint64
-	// whole is all of the configuration, packed.
+	// whole returns the whole configuration, packed.
 	whole func() ([]byte, error)
-	past  []*catalog.Config // the latest last
-	// changes leads to the configuration, packed, by the version that each changes; nil where
-	// it is sent whole.
+	// bases are earlier configurations, the latest last.
+	bases []*catalog.Config
+	// changes has a function by the version of each base. It returns the packed change from
+	// the base to the configuration; nil if the whole configuration is to be sent.
 	changes map[uint64]func() []byte
 }
 
-// newConfigState makes the state of a configuration after those sent before.
-func newConfigState(config *catalog.Config, before *configState) *configState {
+// newConfigState returns the state of a configuration. Its bases are the previous
+// configuration and the bases of that; previous may be nil.
+func newConfigState(config *catalog.Config, previous *configState) *configState {
 	if config == nil {
 		return nil
 	}
@@ -40,22 +44,22 @@
 		hash:  sync.OnceValue(config.Hash),
 		whole: sync.OnceValues(func() ([]byte, error) { return pack(config) }),
 	}
-	if before == nil {
+	if previous == nil {
 		return s
 	}
-	s.past = append(slices.Clone(before.past), before.config)
-	s.past = s.past[max(0, len(s.past)-maxPastConfigs):]
-	for _, p := range s.past {
-		s.changes[p.Version] = sync.OnceValue(func() []byte { return packChange(p, config) })
+	s.bases = append(slices.Clone(previous.bases), previous.config)
+	s.bases = s.bases[max(0, len(s.bases)-maxBaseConfigs):]
+	for _, base := range s.bases {
+		s.changes[base.Version] = sync.OnceValue(func() []byte { return encodeChange(base, config) })
 	}
 	return s
 }
 
-// packChange encodes what leads from one version to another; nil where that is no shorter than
-// all of it, or does not lead there.
-func packChange(from, to *catalog.Config) []byte {
+// encodeChange returns the packed change from one configuration to another; nil if no change
+// leads there, if it is too large (maxChangeShare) or if it can't be encoded.
+func encodeChange(from, to *catalog.Config) []byte {
 	change, ok := from.Diff(to)
-	if !ok || float64(change.Size()) > maxChangedShare*float64(len(to.Routes)) {
+	if !ok || float64(change.Size()) > maxChangeShare*float64(len(to.Routes)) {
 		return nil
 	}
 	packed, err := pack(change)
@@ -65,8 +69,8 @@
 	return packed
 }
 
-// write fills in the configuration, or what leads to it from the version that was asked with.
-func (s *configState) write(r *peerapi.SyncRequest, out *peerapi.SyncReply) {
+// fillReply fills in the configuration, or the change to it from the version in the request.
+func (s *configState) fillReply(r *peerapi.SyncRequest, out *peerapi.SyncReply) {
 	if s == nil {
 		return
 	}
@@ -82,27 +86,27 @@
 	}
 	var err error
 	if out.Config, err = s.whole(); err != nil {
-		out.Version, out.ConfigAgeMS = 0, unknownMS // the peer asks elsewhere
+		out.Version, out.ConfigAgeMS = 0, unknownAgeMS // the peer syncs from another instance
 	}
 }
 
-// Errors of a received change of the configuration.
+// Errors of a received configuration or change of one.
 var (
-	errNoBase      = errors.New("a change of a configuration that is not known")
-	errNoRoute     = errors.New("a received configuration has a route that says nothing")
-	errOtherConfig = errors.New("the received configuration is not the one with its hash")
+	errNoBaseConfig       = errors.New("received a configuration change, but this instance has no configuration")
+	errNullRoute          = errors.New("a received configuration has a route that is null")
+	errConfigHashMismatch = errors.New("the hash of the received configuration does not match")
 )
 
-// decodeConfig reads a peer's configuration, where it differs from the one asked with; nil: it
-// does not.
-func decodeConfig(n *peerapi.SyncReply, base *catalog.Config) (*catalog.Config, error) {
+// decodeConfig decodes a peer's configuration. It returns nil if the peer has sent none,
+// because its configuration is base or because it has none.
+func decodeConfig(reply *peerapi.SyncReply, base *catalog.Config) (*catalog.Config, error) {
 	switch {
-	case n.Change != nil:
-		return applyChange(n, base)
-	case n.Config != nil:
-		out, err := unpackConfig(n.Config)
+	case reply.Change != nil:
+		return applyChange(reply, base)
+	case reply.Config != nil:
+		out, err := unpackConfig(reply.Config)
 		if err != nil {
-			return nil, fmt.Errorf("a peer's configuration: %w", err)
+			return nil, fmt.Errorf("a peer sent an invalid configuration: %w", err)
 		}
 		return out, checkRoutes(out.Routes)
 	default:
@@ -110,34 +114,34 @@
 	}
 }
 
-// applyChange changes the configuration that was asked with.
-func applyChange(n *peerapi.SyncReply, base *catalog.Config) (*catalog.Config, error) {
+// applyChange returns base with a received change applied.
+func applyChange(reply *peerapi.SyncReply, base *catalog.Config) (*catalog.Config, error) {
 	if base == nil {
-		return nil, errNoBase
+		return nil, errNoBaseConfig
 	}
 	var change catalog.ConfigChange
-	if err := unpack(n.Change, &change); err != nil {
+	if err := unpack(reply.Change, &change); err != nil {
 		return nil, fmt.Errorf("decode a change of a peer's configuration: %w", err)
 	}
 	if err := checkRoutes(change.Routes); err != nil {
 		return nil, err
 	}
-	for _, n := range change.New {
-		if n.Route == nil {
-			return nil, errNoRoute
+	for _, added := range change.New {
+		if added.Route == nil {
+			return nil, errNullRoute
 		}
 	}
 	out := base.Apply(&change)
-	if out.Hash() != n.ConfigHash {
-		return nil, errOtherConfig
+	if out.Hash() != reply.ConfigHash {
+		return nil, errConfigHashMismatch
 	}
 	return out, nil
 }
 
-// checkRoutes refuses routes that are null on the wire.
+// checkRoutes returns errNullRoute if a route was null in the message.
 func checkRoutes(routes []*catalog.Route) error {
 	if slices.Contains(routes, nil) {
-		return errNoRoute
+		return errNullRoute
 	}
 	return nil
 }
--- a/entry/hosted/statesync/config_test.go
+++ b/entry/hosted/statesync/config_test.go
@@ -11,8 +11,8 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/catalog"
 )
 
-// versionOf is a configuration of many routes, of which one says the version.
-func versionOf(version uint64) *catalog.Config {
+// newConfig returns a configuration of 300 routes, one of which depends on the version.
+func newConfig(version uint64) *catalog.Config {
 	c := &catalog.Config{Version: version, Services: map[string]catalog.Service{"s": {Name: "s"}}}
 	for i := range 300 {
 		c.Routes = append(c.Routes, &catalog.Route{Name: fmt.Sprintf("r%d", i), Host: "h", Prefix: fmt.Sprintf("/%d/", i)})
@@ -21,27 +21,28 @@
 	return c
 }
 
-// TestVersionReachesPeersThatAreBehind sends a version to peers that have none, the one before, one that
-// is long gone, and one that takes no changes.
-func TestVersionReachesPeersThatAreBehind(t *testing.T) {
+// TestConfigSyncToPeersWithOtherVersions sends a configuration to a peer without one, with the
+// previous version, with a version older than all bases, and to one that accepts no changes.
+// Only the second is sent a change.
+func TestConfigSyncToPeersWithOtherVersions(t *testing.T) {
 	var state *configState
 	const newest = 10
 	for version := uint64(1); version <= newest; version++ {
-		state = newConfigState(versionOf(version), state)
+		state = newConfigState(newConfig(version), state)
 	}
 	for _, tc := range []struct {
 		name    string
 		base    *catalog.Config
 		changes bool
-		want    bool // a change
+		want    bool // a change is sent
 	}{
-		{"none", nil, true, false}, {"one behind", versionOf(newest - 1), true, true}, {"long gone", versionOf(1), true, false},
-		{"takes no changes", versionOf(newest - 1), false, false},
+		{"none", nil, true, false}, {"one behind", newConfig(newest - 1), true, true}, {"long gone", newConfig(1), true, false},
+		{"takes no changes", newConfig(newest - 1), false, false},
 	} {
-		receiver := Receiver{whole: !tc.changes}
+		receiver := Receiver{needWhole: !tc.changes}
 		request := receiver.Request(tc.base)
-		reply := peerapi.SyncReply{ConfigAgeMS: 1, LeavesAgeMS: 1, FleetAgeMS: unknownMS}
-		state.write(&request, &reply)
+		reply := peerapi.SyncReply{ConfigAgeMS: 1, LeavesAgeMS: 1, FleetAgeMS: unknownAgeMS}
+		state.fillReply(&request, &reply)
 		update, err := receiver.Apply(&reply, tc.base, listStart, listStart)
 		if err != nil || update.Config == nil || update.Config.Hash() != state.hash() {
 			t.Errorf("%s: error %v", tc.name, err)
@@ -55,42 +56,43 @@
 	}
 }
 
-// TestChangeOfAnotherConfigurationIsNotTaken applies a change to a configuration that has the version
-// and says something else: the next request asks for all of it.
-func TestChangeOfAnotherConfigurationIsNotTaken(t *testing.T) {
-	second := newConfigState(versionOf(2), newConfigState(versionOf(1), nil))
-	other := versionOf(1)
+// TestChangeOfOtherConfigIsRejected applies a change to a configuration that has the same
+// version as the base and other content. The next request must ask for the whole
+// configuration.
+func TestChangeOfOtherConfigIsRejected(t *testing.T) {
+	second := newConfigState(newConfig(2), newConfigState(newConfig(1), nil))
+	other := newConfig(1)
 	other.Routes[40].Attempts = 9
 	var receiver Receiver
 	request := receiver.Request(other)
 	var reply peerapi.SyncReply
-	second.write(&request, &reply)
-	if _, err := receiver.Apply(&reply, other, listStart, listStart); !errors.Is(err, errOtherConfig) {
-		t.Fatalf("error %v, want %v", err, errOtherConfig)
+	second.fillReply(&request, &reply)
+	if _, err := receiver.Apply(&reply, other, listStart, listStart); !errors.Is(err, errConfigHashMismatch) {
+		t.Fatalf("error %v, want %v", err, errConfigHashMismatch)
 	}
 	request = receiver.Request(other)
 	reply = peerapi.SyncReply{}
-	second.write(&request, &reply)
+	second.fillReply(&request, &reply)
 	update, err := receiver.Apply(&reply, other, listStart, listStart)
 	if err != nil || update.Config == nil || update.Config.Hash() != second.hash() {
-		t.Errorf("after the whole configuration was asked for: error %v", err)
+		t.Errorf("after a request for the whole configuration: error %v", err)
 	}
 	if next := receiver.Request(other); !next.Changes {
 		t.Error("changes are not asked for again")
 	}
 }
 
-// TestVersionThatCannotBeSentConfirmsNoOther lets a configuration not be encoded: a peer that has another
-// one must not take its own for the newest.
-func TestVersionThatCannotBeSentConfirmsNoOther(t *testing.T) {
-	config := versionOf(2)
+// TestUnencodableConfigConfirmsNothing sends a reply of an instance that can't encode its
+// configuration. A peer with another configuration must not take its own for the newest.
+func TestUnencodableConfigConfirmsNothing(t *testing.T) {
+	config := newConfig(2)
 	config.Routes[0].LeastCoverage = math.NaN()
 	var receiver Receiver
-	request := receiver.Request(versionOf(1))
-	reply := peerapi.SyncReply{ConfigAgeMS: 1, LeavesAgeMS: 1, FleetAgeMS: unknownMS}
-	newConfigState(config, nil).write(&request, &reply)
-	update, err := receiver.Apply(&reply, versionOf(1), listStart, listStart)
+	request := receiver.Request(newConfig(1))
+	reply := peerapi.SyncReply{ConfigAgeMS: 1, LeavesAgeMS: 1, FleetAgeMS: unknownAgeMS}
+	newConfigState(config, nil).fillReply(&request, &reply)
+	update, err := receiver.Apply(&reply, newConfig(1), listStart, listStart)
 	if err != nil || update.HasConfigAndLeaves() {
-		t.Errorf("the peer knows version %d by it, error %v", update.Version, err)
+		t.Errorf("the reply confirms version %d, error %v", update.Version, err)
 	}
 }
--- a/entry/hosted/statesync/decode.go
+++ b/entry/hosted/statesync/decode.go
@@ -10,19 +10,19 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/catalog"
 )
 
-// Decoding sleeps for pauseTime after each pauseEvery routes, so that queries run meanwhile on an
-// instance with a small share of a core.
+// Decoding pauses for pauseDuration after each routesPerPause routes, so that queries can run
+// meanwhile on an instance with a small share of a core.
 const (
-	pauseEvery = 64
-	pauseTime  = 200 * time.Microsecond
+	routesPerPause = 64
+	pauseDuration  = 200 * time.Microsecond
 )
 
-// errNoObject is returned for JSON that is no encoded configuration.
-var errNoObject = errors.New("no object with a list of routes")
+// errMalformedConfig is returned for JSON that is not an encoded configuration.
+var errMalformedConfig = errors.New("want a JSON object with a list of routes")
 
-// unpackConfig decodes a packed configuration route by route.
+// unpackConfig decodes a packed configuration one route at a time, with pauses.
 func unpackConfig(data []byte) (*catalog.Config, error) {
-	in, err := unpacked(data)
+	in, err := unpackReader(data)
 	if err != nil {
 		return nil, err
 	}
@@ -43,7 +43,7 @@
 	return out, expect(d, json.Delim('}'))
 }
 
-// decodeField decodes the value of a key; unknown keys are skipped.
+// decodeField decodes the value of a key into the configuration. Unknown keys are skipped.
 func decodeField(d *json.Decoder, key json.Token, out *catalog.Config) error {
 	switch key {
 	case "Version":
@@ -60,14 +60,14 @@
 	}
 }
 
-// decodeRoutes decodes the list of routes; null is an empty list.
+// decodeRoutes decodes the list of routes. A null list is an empty one.
 func decodeRoutes(d *json.Decoder, out *catalog.Config) error {
-	begin, err := d.Token()
-	if err != nil || begin == nil {
+	first, err := d.Token()
+	if err != nil || first == nil {
 		return err
 	}
-	if begin != json.Delim('[') {
-		return errNoObject
+	if first != json.Delim('[') {
+		return errMalformedConfig
 	}
 	for d.More() {
 		var r *catalog.Route
@@ -75,18 +75,18 @@
 			return err
 		}
 		out.Routes = append(out.Routes, r)
-		if len(out.Routes)%pauseEvery == 0 {
-			time.Sleep(pauseTime)
+		if len(out.Routes)%routesPerPause == 0 {
+			time.Sleep(pauseDuration)
 		}
 	}
 	return expect(d, json.Delim(']'))
 }
 
-// expect consumes a delimiter.
+// expect reads the next token and returns an error unless it is the wanted delimiter.
 func expect(d *json.Decoder, want json.Delim) error {
 	got, err := d.Token()
 	if err == nil && got != want {
-		err = errNoObject
+		err = errMalformedConfig
 	}
 	if errors.Is(err, io.EOF) {
 		err = io.ErrUnexpectedEOF
--- a/entry/hosted/statesync/decode_test.go
+++ b/entry/hosted/statesync/decode_test.go
@@ -9,14 +9,14 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/document"
 )
 
-// TestConfigurationIsDecodedAsItWasEncoded packs versions short and long enough to be compressed.
-func TestConfigurationIsDecodedAsItWasEncoded(t *testing.T) {
-	full := versionOf(3)
+// TestConfigRoundTrip encodes and decodes configurations with and without compression.
+func TestConfigRoundTrip(t *testing.T) {
+	full := newConfig(3)
 	full.Limits = catalog.Limits{HeaderBytes: 1, BodyBytes: 2, HeaderTime: 3, IdleTime: 4}
 	full.Routes = append(full.Routes,
 		&catalog.Route{Name: "shards", Shards: []string{"a", "b"}, TopK: 5, LeastCoverage: 0.5, Idempotent: true, Priority: 2},
 		&catalog.Route{Name: "split", Targets: []document.RouteTarget{{Service: "a", Weight: 1}, {Service: "b", Weight: 3}}, Objective: time.Second, Attempts: 2})
-	for _, config := range []*catalog.Config{{}, {Version: 1}, {Version: 2, Routes: versionOf(2).Routes[:3]}, full} {
+	for _, config := range []*catalog.Config{{}, {Version: 1}, {Version: 2, Routes: newConfig(2).Routes[:3]}, full} {
 		packed, err := pack(config)
 		if err != nil {
 			t.Fatal(err)
@@ -27,9 +27,10 @@
 	}
 }
 
-// TestBadConfigurationIsRefused decodes what pack does not write.
-func TestBadConfigurationIsRefused(t *testing.T) {
-	for text, good := range map[string]bool{
+// TestMalformedConfigIsRejected decodes texts that pack does not write. Those with a null list
+// of routes or an unknown key are valid.
+func TestMalformedConfigIsRejected(t *testing.T) {
+	for text, valid := range map[string]bool{
 		`{"Version":3,"Routes":null}`:                  true,
 		`{"Version":3,"Later":{"a":[1]},"Routes":[]}`:  true,
 		`{"Version":3,"Routes":[{"Name":"a"},`:         false,
@@ -41,28 +42,28 @@
 		"\x1f\x8b compressed with something else":      false,
 		`{"Version":3,"Routes":[{"Name":"a"},{"Na}]}]`: false,
 	} {
-		if got, err := unpackConfig([]byte(text)); (err == nil) != good || good && got.Version != 3 {
+		if got, err := unpackConfig([]byte(text)); (err == nil) != valid || valid && got.Version != 3 {
 			t.Errorf("%q: %+v, error %v", text, got, err)
 		}
 	}
 }
 
-// TestLargeConfigurationLetsQueriesRun decodes many routes: whoever else has work gets a turn after
-// each few of them.
-func TestLargeConfigurationLetsQueriesRun(t *testing.T) {
+// TestDecodingLargeConfigPauses checks that decoding pauses after each routesPerPause routes,
+// so that other goroutines can run.
+func TestDecodingLargeConfigPauses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		config := &catalog.Config{Version: 1}
-		const turns = 20
-		for range turns * pauseEvery {
+		const pauses = 20
+		for range pauses * routesPerPause {
 			config.Routes = append(config.Routes, &catalog.Route{Name: "r"})
 		}
 		packed, err := pack(config)
 		if err != nil {
 			t.Fatal(err)
 		}
-		begin := time.Now()
-		if _, err := unpackConfig(packed); err != nil || time.Since(begin) != turns*pauseTime {
-			t.Errorf("paused for %v, want %v, error %v", time.Since(begin), turns*pauseTime, err)
+		start := time.Now()
+		if _, err := unpackConfig(packed); err != nil || time.Since(start) != pauses*pauseDuration {
+			t.Errorf("paused for %v, want %v, error %v", time.Since(start), pauses*pauseDuration, err)
 		}
 	})
 }
--- a/entry/hosted/statesync/instances.go
+++ b/entry/hosted/statesync/instances.go
@@ -8,22 +8,23 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/fleet"
 )
 
-// instanceRecord is an instance as instances send each other of it.
+// instanceRecord is the encoding of an instance in a list that instances send each other.
 type instanceRecord struct {
 	Name, Zone, Peer string
 	Power            float64 `json:",omitempty"`
-	// Mark is that of the last announcement which the sender has seen.
+	// Mark identifies the last announcement of the instance that the sender has seen.
 	Mark uint64
 }
 
-// InstanceList is the list of instances that this instance sends to others. It is immutable.
+// InstanceList is the encoded list of instances that this instance sends to others. It is
+// immutable.
 type InstanceList struct {
-	// Hash is that of the list, which marks do not change.
+	// Hash is the hash of the list without the announcement marks.
 	Hash   uint64
 	packed []byte
 }
 
-// NewInstanceList encodes a list.
+// NewInstanceList returns the encoded list.
 func NewInstanceList(list []fleet.Instance) (*InstanceList, error) {
 	records := make([]instanceRecord, 0, len(list))
 	for _, i := range list {
@@ -36,16 +37,17 @@
 	return &InstanceList{Hash: fleet.HashInstances(list), packed: packed}, nil
 }
 
-// FillReply fills in the list where it differs from the one with the given hash.
-func (i *InstanceList) FillReply(from uint64, out *peerapi.SyncReply) {
-	out.Fleet = i.Hash
-	if i.Hash != from {
-		out.Instances = i.packed
+// FillReply fills in the hash of the list, and the list itself if its hash is not the one that
+// the peer has.
+func (l *InstanceList) FillReply(peerHash uint64, out *peerapi.SyncReply) {
+	out.Fleet = l.Hash
+	if l.Hash != peerHash {
+		out.Instances = l.packed
 	}
 }
 
-// decodeInstances reads a list of instances; nil: it is the one asked with. An entry that
-// can't be used names no instance, and the others hold.
+// decodeInstances decodes a list of instances; nil if the peer has sent none, because the list
+// is unchanged or unknown to it. Invalid entries are skipped.
 func decodeInstances(reply *peerapi.SyncReply) ([]fleet.Instance, error) {
 	if reply.Instances == nil {
 		return nil, nil
--- a/entry/hosted/statesync/leaves.go
+++ b/entry/hosted/statesync/leaves.go
@@ -12,21 +12,22 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/catalog"
 )
 
-// leafRecord is a leaf as instances send each other of it. Their clocks differ:
-// the end of the slow start is sent as a time left.
+// leafRecord is the encoding of a leaf in a list that instances send each other. Their
+// clocks differ, so the end of the leaf's warm-up is sent as the time left, WarmLeft.
 type leafRecord struct {
 	ID, Service, Address, Zone string
 	Slots                      int
 	Draining                   bool
 	WarmLeft                   time.Duration
-	// Born, Sequence, Revision and Restarts tell the starts of a leaf apart.
+	// Born, Sequence, Revision and Restarts identify the incarnation of a leaf. Born is
+	// catalog.Leaf.StartMillis.
 	Born     int64  `json:",omitempty"`
 	Sequence int64  `json:",omitempty"`
 	Revision uint64 `json:",omitempty"`
 	Restarts int    `json:",omitempty"`
 }
 
-// newLeafRecord is what is sent of a leaf.
+// newLeafRecord encodes a leaf.
 func newLeafRecord(l *catalog.Leaf, now time.Time) leafRecord {
 	return leafRecord{
 		ID: l.ID, Service: l.Service, Address: l.Address, Zone: l.Zone, Slots: l.Slots, Draining: l.Draining,
@@ -34,56 +35,56 @@
 	}
 }
 
-// leaf is what was received.
-func (n *leafRecord) leaf(now time.Time) catalog.Leaf {
+// leaf decodes a record.
+func (r *leafRecord) leaf(now time.Time) catalog.Leaf {
 	return catalog.Leaf{
-		ID: n.ID, Service: n.Service, Address: n.Address, Zone: n.Zone, Slots: n.Slots, Draining: n.Draining,
-		WarmUpEnd: now.Add(n.WarmLeft), StartMillis: n.Born, Sequence: n.Sequence, Revision: n.Revision, Restarts: n.Restarts,
+		ID: r.ID, Service: r.Service, Address: r.Address, Zone: r.Zone, Slots: r.Slots, Draining: r.Draining,
+		WarmUpEnd: now.Add(r.WarmLeft), StartMillis: r.Born, Sequence: r.Sequence, Revision: r.Revision, Restarts: r.Restarts,
 	}
 }
 
-// same reports whether two readings of a leaf mean the same: heartbeats and what is left
-// of a slow start count for nothing.
-func (n leafRecord) same(o leafRecord) bool {
-	n.WarmLeft, n.Sequence, n.Revision = o.WarmLeft, o.Sequence, o.Revision
-	return n == o
+// equalState reports whether two records of a leaf are equal except for heartbeats and the
+// time left of the warm-up.
+func (r leafRecord) equalState(o leafRecord) bool {
+	r.WarmLeft, r.Sequence, r.Revision = o.WarmLeft, o.Sequence, o.Revision
+	return r == o
 }
 
-// decodeLeafRecord reads what a peer sent of one leaf; its ID is returned in any case. A
-// peer of another version may send what this one can't read: that names no leaf to use,
-// and the others hold.
+// decodeLeafRecord decodes one leaf of a peer's list. The leaf has its ID also when it is
+// invalid, as far as the ID could be read. A peer of another program version may send a leaf
+// that this one can't decode: only that leaf is not used.
 func decodeLeafRecord(data json.RawMessage, now time.Time) (catalog.Leaf, *catalog.BadEntry) {
-	var n leafRecord
-	if err := json.Unmarshal(data, &n); err != nil {
-		return catalog.Leaf{ID: n.ID}, &catalog.BadEntry{Name: n.ID, Revision: n.Revision, Reason: "sent by a peer: " + err.Error()}
+	var r leafRecord
+	if err := json.Unmarshal(data, &r); err != nil {
+		return catalog.Leaf{ID: r.ID}, &catalog.BadEntry{Name: r.ID, Revision: r.Revision, Reason: "sent by a peer: " + err.Error()}
 	}
-	l := n.leaf(now)
-	if n.WarmLeft < 0 || n.WarmLeft > catalog.MaxWarmUp {
-		return l, &catalog.BadEntry{Name: n.ID, Revision: n.Revision, Field: "warm_left", Reason: "out of range"}
+	l := r.leaf(now)
+	if r.WarmLeft < 0 || r.WarmLeft > catalog.MaxWarmUp {
+		return l, &catalog.BadEntry{Name: r.ID, Revision: r.Revision, Field: "warm_left", Reason: "out of range"}
 	}
 	return l, l.Validate()
 }
 
-// pastList is a list that was sent before, and what leads from it to the present one.
-type pastList struct {
+// pastLeaves is an earlier list of leaves and the changes from it to the current list.
+type pastLeaves struct {
 	hash    uint64
 	list    map[string]leafRecord
-	changed []byte // packed
-	gone    []string
+	changed []byte   // packed records of the leaves that are new or differ
+	removed []string // IDs
 }
 
-// lead finds what leads from a past list to the present one.
-func (p *pastList) lead(to map[string]leafRecord) error {
+// computeChanges sets the changes from the earlier list to the current one.
+func (p *pastLeaves) computeChanges(current map[string]leafRecord) error {
 	changed := []leafRecord{}
-	for _, id := range slices.Sorted(maps.Keys(to)) {
-		if was, ok := p.list[id]; !ok || !was.same(to[id]) {
-			changed = append(changed, to[id])
+	for _, id := range slices.Sorted(maps.Keys(current)) {
+		if old, ok := p.list[id]; !ok || !old.equalState(current[id]) {
+			changed = append(changed, current[id])
 		}
 	}
-	p.gone = nil
+	p.removed = nil
 	for _, id := range slices.Sorted(maps.Keys(p.list)) {
-		if _, ok := to[id]; !ok {
-			p.gone = append(p.gone, id)
+		if _, ok := current[id]; !ok {
+			p.removed = append(p.removed, id)
 		}
 	}
 	var err error
@@ -91,62 +92,63 @@
 	return err
 }
 
-// receivedLeaves is the list that another instance sent last. It is used by one goroutine.
+// receivedLeaves is the list of leaves received last. It is not safe for concurrent use.
 type receivedLeaves struct {
-	hash uint64 // 0: there is none
+	hash uint64 // 0 if there is no list
 	list map[string]receivedLeaf
 }
 
-// receivedLeaf is one entry of such a list; bad is set where it can't be used.
+// receivedLeaf is one leaf of a received list. If it is invalid, bad says why.
 type receivedLeaf struct {
 	leaf catalog.Leaf
 	bad  *catalog.BadEntry
 }
 
 // forget makes the next request ask for the whole list.
-func (t *receivedLeaves) forget() { *t = receivedLeaves{} }
+func (l *receivedLeaves) forget() { *l = receivedLeaves{} }
 
 // Errors of a received list of leaves.
 var (
-	errOtherBase = errors.New("changes of a list that was not received")
-	errOtherList = errors.New("the received list is not the one with its hash")
+	errUnknownBaseList  = errors.New("received changes of a list of leaves that this instance does not have")
+	errListHashMismatch = errors.New("the hash of the received list of leaves does not match")
 )
 
-// take applies what was received and returns the whole list; differs is false when it is
-// the one received before.
-func (t *receivedLeaves) take(n *peerapi.SyncReply, now time.Time) (list catalog.Listing, differs bool, err error) {
-	list.Revision = n.Revision
-	if n.Leaves == nil {
+// apply applies the list or the changes of a reply and returns the whole list. If the reply
+// has neither, the list is the one received last: changed is false and only the revision is
+// returned.
+func (l *receivedLeaves) apply(reply *peerapi.SyncReply, now time.Time) (list catalog.Listing, changed bool, err error) {
+	list.Revision = reply.Revision
+	if reply.Leaves == nil {
 		return list, false, nil
 	}
 	var entries []json.RawMessage
-	if err := unpack(n.Leaves, &entries); err != nil {
+	if err := unpack(reply.Leaves, &entries); err != nil {
 		return list, false, fmt.Errorf("decode a peer's leaves: %w", err)
 	}
-	next := make(map[string]receivedLeaf, len(t.list)+len(entries))
-	if n.Base != 0 {
-		if n.Base != t.hash {
-			return list, false, errOtherBase
+	next := make(map[string]receivedLeaf, len(l.list)+len(entries))
+	if reply.Base != 0 {
+		if reply.Base != l.hash {
+			return list, false, errUnknownBaseList
 		}
-		maps.Copy(next, t.list)
+		maps.Copy(next, l.list)
 	}
-	for _, id := range n.Gone {
+	for _, id := range reply.Gone {
 		delete(next, id)
 	}
 	for _, e := range entries {
-		l, bad := decodeLeafRecord(e, now)
-		next[l.ID] = receivedLeaf{l, bad}
+		leaf, bad := decodeLeafRecord(e, now)
+		next[leaf.ID] = receivedLeaf{leaf, bad}
 	}
-	list.Leaves, list.Bad = splitBad(next)
-	if len(list.Bad) == 0 && catalog.HashLeaves(list.Leaves) != n.Hash {
-		return list, false, errOtherList
+	list.Leaves, list.Bad = splitValid(next)
+	if len(list.Bad) == 0 && catalog.HashLeaves(list.Leaves) != reply.Hash {
+		return list, false, errListHashMismatch
 	}
-	t.hash, t.list = n.Hash, next
+	l.hash, l.list = reply.Hash, next
 	return list, true, nil
 }
 
-// splitBad lists the entries that can be used, in the order of their IDs, and the others.
-func splitBad(list map[string]receivedLeaf) (leaves []catalog.Leaf, bad []catalog.BadEntry) {
+// splitValid returns the valid leaves and the bad entries, each ordered by ID.
+func splitValid(list map[string]receivedLeaf) (leaves []catalog.Leaf, bad []catalog.BadEntry) {
 	leaves = make([]catalog.Leaf, 0, len(list))
 	for _, id := range slices.Sorted(maps.Keys(list)) {
 		if l := list[id]; l.bad == nil {
--- a/entry/hosted/statesync/pack.go
+++ b/entry/hosted/statesync/pack.go
@@ -9,34 +9,36 @@
 	"sync"
 )
 
-// packFrom is the length from which JSON is compressed, in bytes. Below it a compressor's
-// own megabyte of memory costs a small fleet more than the bytes that it saves.
-const packFrom = 32 << 10
+// minCompressBytes is the length from which JSON is compressed. For shorter JSON, the
+// megabyte of memory that a compressor takes costs a small fleet more than the bytes that it
+// saves.
+const minCompressBytes = 32 << 10
 
-// mostUnpacked bounds what compressed state may hold, in bytes: a list of 130,000 leaves.
-const mostUnpacked = 64 << 20
+// maxUnpackedBytes limits the decompressed length of state. It is enough for a list of
+// 130,000 leaves.
+const maxUnpackedBytes = 64 << 20
 
-// gzipMagic begins compressed data; JSON begins otherwise.
+// gzipMagic is the prefix of compressed data. JSON never starts with it.
 var gzipMagic = []byte{0x1f, 0x8b}
 
-// writers keeps compressors.
-var writers = sync.Pool{New: func() any {
+// gzipWriters keeps compressors for reuse.
+var gzipWriters = sync.Pool{New: func() any {
 	w, _ := gzip.NewWriterLevel(io.Discard, gzip.BestSpeed) // the level is valid
 	return w
 }}
 
-// pack writes a value as JSON, compressed where it is long.
+// pack encodes a value as JSON, and compresses it from minCompressBytes on.
 func pack(v any) ([]byte, error) {
 	data, err := json.Marshal(v)
 	if err != nil {
 		return nil, fmt.Errorf("encode state: %w", err)
 	}
-	if len(data) < packFrom {
+	if len(data) < minCompressBytes {
 		return data, nil
 	}
 	var out bytes.Buffer
-	w := writers.Get().(*gzip.Writer)
-	defer writers.Put(w)
+	w := gzipWriters.Get().(*gzip.Writer)
+	defer gzipWriters.Put(w)
 	w.Reset(&out)
 	if _, err := w.Write(data); err != nil {
 		return nil, fmt.Errorf("compress state: %w", err)
@@ -47,20 +49,21 @@
 	return out.Bytes(), nil
 }
 
-// unpack reads what pack has written.
+// unpack decodes data of pack into a value.
 func unpack(data []byte, into any) error {
 	if !bytes.HasPrefix(data, gzipMagic) {
 		return json.Unmarshal(data, into)
 	}
-	in, err := unpacked(data)
+	in, err := unpackReader(data)
 	if err != nil {
 		return err
 	}
 	return json.NewDecoder(in).Decode(into)
 }
 
-// unpacked is the JSON that pack has written.
-func unpacked(data []byte) (io.Reader, error) {
+// unpackReader returns a reader of the JSON in data of pack. Decompressed JSON is cut off
+// after maxUnpackedBytes.
+func unpackReader(data []byte) (io.Reader, error) {
 	if !bytes.HasPrefix(data, gzipMagic) {
 		return bytes.NewReader(data), nil
 	}
@@ -68,5 +71,5 @@
 	if err != nil {
 		return nil, fmt.Errorf("decompress state: %w", err)
 	}
-	return io.LimitReader(r, mostUnpacked), nil
+	return io.LimitReader(r, maxUnpackedBytes), nil
 }
--- a/entry/hosted/statesync/state.go
+++ b/entry/hosted/statesync/state.go
@@ -1,9 +1,9 @@
-// Package statesync encodes what an instance knows of the platform's store for other
-// instances, and decodes what they send: the configuration, the leaves and the instances,
-// each with the age of the store's word. What has not changed is not sent again, and of
-// the leaves only what has changed since the asking instance received a list: whole lists
-// at each change fill the links of a large fleet. Sending and choosing whom to ask are
-// not its job.
+// Package statesync encodes and decodes the state that instances send each other: the
+// configuration, the leaves and the instances, each with the age of the read of the platform's
+// store that it comes from. Unchanged parts are not sent again. Of configuration and leaves,
+// only the changes since the receiver's version are sent where possible, because whole lists
+// at each change fill the links of a large fleet. The package sends nothing itself and does
+// not choose the instance to sync from.
 package statesync
 
 import (
@@ -14,25 +14,26 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/catalog"
 )
 
-// mostPast is the number of earlier lists from which changes are sent. An instance asks
-// at least once for each two reads of the store, so a few would do.
-const mostPast = 8
+// maxPastLists is the number of earlier lists of leaves from which changes are sent. An
+// instance asks at least once for each two reads of the store, so a few are enough.
+const maxPastLists = 8
 
-// unknownMS is the age of what is not known.
-const unknownMS = -1
+// unknownAgeMS is sent as the age of a part that is not known.
+const unknownAgeMS = -1
 
-// State is what this instance sends to others of configuration and leaves. It is immutable.
+// State is the configuration and the list of leaves, encoded for other instances. It is
+// immutable.
 type State struct {
-	// LastReads says how new it is.
+	// LastReads has the times of the store reads that the state comes from.
 	LastReads catalog.LastReads
 	config    *configState // nil while there is no configuration
 	hash      uint64
 	list      map[string]leafRecord // by ID
 	leaves    []byte                // list, packed
-	past      []pastList            // the latest last
+	past      []pastLeaves          // the latest last
 }
 
-// Config is the configuration, or nil. It must not be changed.
+// Config returns the configuration, or nil. It must not be changed.
 func (s *State) Config() *catalog.Config {
 	if s == nil || s.config == nil {
 		return nil
@@ -40,7 +41,7 @@
 	return s.config.config
 }
 
-// LeavesHash is that of the list of leaves; 0 before there is a state.
+// LeavesHash returns the hash of the list of leaves; 0 for a nil state.
 func (s *State) LeavesHash() uint64 {
 	if s == nil {
 		return 0
@@ -48,8 +49,8 @@
 	return s.hash
 }
 
-// AsOf is when the older one of the last good reads of configuration and leaves began; zero
-// while either is missing.
+// AsOf returns the time at which the last successful read of the configuration or that of the
+// leaves began, whichever is earlier; zero while either is missing.
 func (s *State) AsOf() time.Time {
 	if s == nil {
 		return time.Time{}
@@ -60,44 +61,46 @@
 	return s.LastReads.LeavesAt
 }
 
-// New encodes the catalog, from what was encoded before where it has not changed.
-func New(c *catalog.Catalog, before *State, now time.Time) (*State, error) {
+// New returns the state of a catalog. It reuses the encoded parts of the previous state that
+// have not changed; previous may be nil.
+func New(c *catalog.Catalog, previous *State, now time.Time) (*State, error) {
 	next := &State{LastReads: c.LastReads()}
-	if before != nil {
-		next.config = before.config
+	if previous != nil {
+		next.config = previous.config
 	}
 	if next.Config() != c.Config() {
 		next.config = newConfigState(c.Config(), next.config)
 	}
 	list := c.ListedLeaves()
 	next.hash = catalog.HashLeaves(list)
-	if before != nil && before.hash == next.hash {
-		next.list, next.leaves, next.past = before.list, before.leaves, before.past
+	if previous != nil && previous.hash == next.hash {
+		next.list, next.leaves, next.past = previous.list, previous.leaves, previous.past
 		return next, nil
 	}
-	return next, next.setLeaves(list, before, now)
+	return next, next.encodeLeaves(list, previous, now)
 }
 
-// setLeaves fills in a list that differs from the one before.
-func (s *State) setLeaves(list []catalog.Leaf, before *State, now time.Time) error {
+// encodeLeaves sets the list of leaves, its encoding and the changes from earlier lists. The
+// list differs from the previous one.
+func (s *State) encodeLeaves(list []catalog.Leaf, previous *State, now time.Time) error {
 	s.list = make(map[string]leafRecord, len(list))
-	all := make([]leafRecord, 0, len(list))
+	records := make([]leafRecord, 0, len(list))
 	for i := range list {
-		l := newLeafRecord(&list[i], now)
-		s.list[l.ID] = l
-		all = append(all, l)
+		r := newLeafRecord(&list[i], now)
+		s.list[r.ID] = r
+		records = append(records, r)
 	}
 	var err error
-	if s.leaves, err = pack(all); err != nil {
+	if s.leaves, err = pack(records); err != nil {
 		return err
 	}
-	if before == nil {
+	if previous == nil {
 		return nil
 	}
-	past := append(slices.Clone(before.past), pastList{hash: before.hash, list: before.list})
-	past = slices.DeleteFunc(past, func(p pastList) bool { return p.hash == s.hash })
-	for _, p := range past[max(0, len(past)-mostPast):] {
-		if err := p.lead(s.list); err != nil {
+	past := append(slices.Clone(previous.past), pastLeaves{hash: previous.hash, list: previous.list})
+	past = slices.DeleteFunc(past, func(p pastLeaves) bool { return p.hash == s.hash })
+	for _, p := range past[max(0, len(past)-maxPastLists):] {
+		if err := p.computeChanges(s.list); err != nil {
 			return err
 		}
 		s.past = append(s.past, p)
@@ -105,41 +108,43 @@
 	return nil
 }
 
-// UnknownReply is the reply of an instance that knows nothing, or leaves: others are to ask
-// elsewhere in time.
+// UnknownReply returns the reply of an instance that knows nothing, or that is leaving, so that
+// others sync from another instance in time.
 func UnknownReply() *peerapi.SyncReply {
-	return &peerapi.SyncReply{ConfigAgeMS: unknownMS, LeavesAgeMS: unknownMS, FleetAgeMS: unknownMS}
+	return &peerapi.SyncReply{ConfigAgeMS: unknownAgeMS, LeavesAgeMS: unknownAgeMS, FleetAgeMS: unknownAgeMS}
 }
 
-// Reply is what a peer that asks gets of configuration and leaves.
+// Reply returns the reply to a peer's request, with the configuration and the leaves as far as
+// they differ from those that the request names. The instances are unknown in it.
 func (s *State) Reply(r *peerapi.SyncRequest, now time.Time) *peerapi.SyncReply {
 	out := &peerapi.SyncReply{
 		ConfigAgeMS: AgeMS(s.LastReads.ConfigAt, now),
-		Revision:    s.LastReads.Revision, Hash: s.hash, LeavesAgeMS: AgeMS(s.LastReads.LeavesAt, now), FleetAgeMS: unknownMS,
+		Revision:    s.LastReads.Revision, Hash: s.hash, LeavesAgeMS: AgeMS(s.LastReads.LeavesAt, now), FleetAgeMS: unknownAgeMS,
 	}
-	s.config.write(r, out)
-	s.writeLeaves(r.Hash, out)
+	s.config.fillReply(r, out)
+	s.fillLeaves(r.Hash, out)
 	return out
 }
 
-// writeLeaves fills in the list, or what leads to it from the one with the given hash.
-func (s *State) writeLeaves(from uint64, out *peerapi.SyncReply) {
-	if from == s.hash {
+// fillLeaves fills in the list of leaves, or the changes to it from the list that the peer has,
+// if that list is known and the changes are shorter.
+func (s *State) fillLeaves(peerHash uint64, out *peerapi.SyncReply) {
+	if peerHash == s.hash {
 		return
 	}
 	for _, p := range s.past {
-		if p.hash == from && len(p.changed) < len(s.leaves) {
-			out.Base, out.Leaves, out.Gone = from, p.changed, p.gone
+		if p.hash == peerHash && len(p.changed) < len(s.leaves) {
+			out.Base, out.Leaves, out.Gone = peerHash, p.changed, p.removed
 			return
 		}
 	}
 	out.Leaves = s.leaves
 }
 
-// AgeMS is for how long something has been known, in milliseconds; -1 for never.
+// AgeMS returns the time since a moment in milliseconds; -1 for the zero time.
 func AgeMS(at, now time.Time) int64 {
 	if at.IsZero() {
-		return unknownMS
+		return unknownAgeMS
 	}
 	return now.Sub(at).Milliseconds()
 }
--- a/entry/hosted/statesync/state_test.go
+++ b/entry/hosted/statesync/state_test.go
@@ -15,7 +15,7 @@
 
 var listStart = time.Unix(1000, 0)
 
-// listedLeaf is a leaf of a list of the given size.
+// listedLeaf returns the leaf with the given index in a list.
 func listedLeaf(i int) catalog.Leaf {
 	return catalog.Leaf{
 		ID: fmt.Sprintf("i-%010x", i*7919), Service: fmt.Sprintf("service%03d", i/3), Address: fmt.Sprintf("10.1.%d.%d:8568", i/250, 1+i%250),
@@ -23,22 +23,22 @@
 	}
 }
 
-// catalogOf is a catalog that has read a list.
-func catalogOf(revision uint64, leaves ...catalog.Leaf) *catalog.Catalog {
+// newCatalog returns a catalog that has read a configuration and a list of leaves.
+func newCatalog(revision uint64, leaves ...catalog.Leaf) *catalog.Catalog {
 	c := catalog.New(catalog.Settings{})
 	c.ApplyConfig(&catalog.Config{Version: 3, Routes: slices.Repeat([]*catalog.Route{{}}, 400)}, listStart, listStart)
 	c.ApplyLeaves(catalog.Listing{Leaves: leaves, Revision: revision}, listStart, listStart)
 	return c
 }
 
-// TestChangeOfOneLeafIsShort changes one of 400 leaves: who knew the list is received little,
-// and who did not is received all, compressed.
-func TestChangeOfOneLeafIsShort(t *testing.T) {
+// TestChangeOfOneLeafIsSmall changes one of 400 leaves and removes one. A peer that has the
+// earlier list is sent only these changes, and one without it the whole list, compressed.
+func TestChangeOfOneLeafIsSmall(t *testing.T) {
 	var leaves []catalog.Leaf
 	for i := range 400 {
 		leaves = append(leaves, listedLeaf(i))
 	}
-	before, err := New(catalogOf(5, leaves...), nil, listStart)
+	before, err := New(newCatalog(5, leaves...), nil, listStart)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -46,32 +46,33 @@
 	for i := range leaves {
 		leaves[i].Sequence++ // heartbeats are no change
 	}
-	after, err := New(catalogOf(6, leaves[:399]...), before, listStart)
+	after, err := New(newCatalog(6, leaves[:399]...), before, listStart)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var known, unknown peerapi.SyncReply
-	after.writeLeaves(before.hash, &known)
-	after.writeLeaves(0, &unknown)
-	if known.Base != before.hash || len(known.Leaves) > 300 || len(known.Gone) != 1 {
-		t.Errorf("one changed and one gone leaf are received in %d bytes, base %x, gone %v", len(known.Leaves), known.Base, known.Gone)
+	var change, all peerapi.SyncReply
+	after.fillLeaves(before.hash, &change)
+	after.fillLeaves(0, &all)
+	if change.Base != before.hash || len(change.Leaves) > 300 || len(change.Gone) != 1 {
+		t.Errorf("one changed and one removed leaf take %d bytes, base %x, removed %v", len(change.Leaves), change.Base, change.Gone)
 	}
-	if unknown.Base != 0 || len(unknown.Leaves) > 20_000 {
-		t.Errorf("the whole list takes %d bytes, base %x", len(unknown.Leaves), unknown.Base)
+	if all.Base != 0 || len(all.Leaves) > 20_000 {
+		t.Errorf("the whole list takes %d bytes, base %x", len(all.Leaves), all.Base)
 	}
 	if whole, err := after.config.whole(); err != nil || len(whole) > 8000 {
-		t.Errorf("a configuration of 400 like routes takes %d bytes, error %v", len(whole), err)
+		t.Errorf("a configuration of 400 equal routes takes %d bytes, error %v", len(whole), err)
 	}
 }
 
-// TestReceivedListFollows changes a list at random and lets another instance ask now and
-// then, also after it has lost what it was received: it has the list each time.
-func TestReceivedListFollows(t *testing.T) {
+// TestReceivedListMatchesSent changes a list at random while another instance requests it now
+// and then, sometimes after it has dropped the list received before. After each request its
+// list must be equal to the one sent.
+func TestReceivedListMatchesSent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		leaves := map[int]catalog.Leaf{}
 		var received receivedLeaves
 		var state *State
-		whole := 0
+		wholeLists := 0
 		for step := range rapid.IntRange(1, 40).Draw(t, "steps") {
 			for range rapid.IntRange(0, 3).Draw(t, "changes") {
 				i := rapid.IntRange(0, 20).Draw(t, "leaf")
@@ -87,7 +88,7 @@
 				}
 			}
 			var err error
-			if state, err = New(catalogOf(uint64(step+1), slices.Collect(maps.Values(leaves))...), state, listStart); err != nil {
+			if state, err = New(newCatalog(uint64(step+1), slices.Collect(maps.Values(leaves))...), state, listStart); err != nil {
 				t.Fatal(err)
 			}
 			if rapid.IntRange(0, 9).Draw(t, "forgets") == 0 {
@@ -96,67 +97,67 @@
 			if rapid.IntRange(0, 2).Draw(t, "asks") > 0 {
 				continue
 			}
-			n := &peerapi.SyncReply{Hash: state.hash, Revision: uint64(step + 1)}
-			state.writeLeaves(received.hash, n)
-			if n.Base == 0 && n.Leaves != nil {
-				whole++
+			reply := &peerapi.SyncReply{Hash: state.hash, Revision: uint64(step + 1)}
+			state.fillLeaves(received.hash, reply)
+			if reply.Base == 0 && reply.Leaves != nil {
+				wholeLists++
 			}
-			list, differs, err := received.take(n, listStart)
-			if err != nil || differs != (n.Leaves != nil) {
-				t.Fatalf("differs %v, error %v", differs, err)
+			list, changed, err := received.apply(reply, listStart)
+			if err != nil || changed != (reply.Leaves != nil) {
+				t.Fatalf("changed %v, error %v", changed, err)
 			}
-			if differs && (len(list.Leaves) != len(leaves) || catalog.HashLeaves(list.Leaves) != state.hash) {
-				t.Fatalf("has %d leaves, want %d", len(list.Leaves), len(leaves))
+			if changed && (len(list.Leaves) != len(leaves) || catalog.HashLeaves(list.Leaves) != state.hash) {
+				t.Fatalf("received a list of %d leaves, want the list sent, of %d", len(list.Leaves), len(leaves))
 			}
 		}
 	})
 }
 
-// TestChangesOfAnotherList refuses changes of a list that this instance does not have, and
-// a list that does not have the hash that was received.
-func TestChangesOfAnotherList(t *testing.T) {
-	state, err := New(catalogOf(1, listedLeaf(1)), nil, listStart)
+// TestChangeOfOtherListIsRejected checks that changes of a list that this instance does not
+// have are rejected, and a list that does not match the hash in the reply.
+func TestChangeOfOtherListIsRejected(t *testing.T) {
+	state, err := New(newCatalog(1, listedLeaf(1)), nil, listStart)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var received receivedLeaves
-	n := peerapi.SyncReply{Hash: state.hash, Leaves: state.leaves, Base: 77}
-	if _, _, err := received.take(&n, listStart); err == nil {
-		t.Error("changes of an unknown list were taken")
+	reply := peerapi.SyncReply{Hash: state.hash, Leaves: state.leaves, Base: 77}
+	if _, _, err := received.apply(&reply, listStart); err == nil {
+		t.Error("changes of an unknown list were accepted")
 	}
-	n.Base, n.Hash = 0, 78
-	if _, _, err := received.take(&n, listStart); err == nil {
-		t.Error("a list with another hash was taken")
+	reply.Base, reply.Hash = 0, 78
+	if _, _, err := received.apply(&reply, listStart); err == nil {
+		t.Error("a list with another hash was accepted")
 	}
 }
 
-// BenchmarkChangeOfOneLeaf takes what is received when one of 415 leaves has changed: 3.1 ms
-// when all of them were decoded again and hashed by formatted text, 0.31 ms now.
-func BenchmarkChangeOfOneLeaf(b *testing.B) {
+// BenchmarkApplyChangeOfOneLeaf measures a received change of one of 415 leaves. It takes 0.31
+// ms. Decoding all leaves again and hashing them as formatted text takes 3.1 ms.
+func BenchmarkApplyChangeOfOneLeaf(b *testing.B) {
 	var leaves []catalog.Leaf
 	for i := range 415 {
 		leaves = append(leaves, listedLeaf(i))
 	}
-	first, err := New(catalogOf(1, leaves...), nil, listStart)
+	first, err := New(newCatalog(1, leaves...), nil, listStart)
 	if err != nil {
 		b.Fatal(err)
 	}
 	leaves[7].Draining = true
-	second, err := New(catalogOf(2, leaves...), first, listStart)
+	second, err := New(newCatalog(2, leaves...), first, listStart)
 	if err != nil {
 		b.Fatal(err)
 	}
 	all := peerapi.SyncReply{Hash: first.hash}
-	first.writeLeaves(0, &all)
+	first.fillLeaves(0, &all)
 	change := peerapi.SyncReply{Hash: second.hash}
-	second.writeLeaves(first.hash, &change)
+	second.fillLeaves(first.hash, &change)
 	var base receivedLeaves
-	if _, _, err := base.take(&all, listStart); err != nil {
+	if _, _, err := base.apply(&all, listStart); err != nil {
 		b.Fatal(err)
 	}
 	for b.Loop() {
 		received := base
-		if _, _, err := received.take(&change, listStart); err != nil {
+		if _, _, err := received.apply(&change, listStart); err != nil {
 			b.Fatal(err)
 		}
 	}
