--- a/entry/hosted/slowleaves/slowleaves.go
+++ b/entry/hosted/slowleaves/slowleaves.go
@@ -1,6 +1,8 @@
-// Package slowleaves keeps what this instance and those that ask it saw of slow leaves, and
-// what the instance that it asks reported. One instance of a large fleet asks a leaf rarely
-// and would learn too late on its own that it is slow.
+// Package slowleaves combines observations of leaves across instances to detect slow leaves. An
+// instance collects its own observations and those of the instances that sync from it, and
+// passes them on to the instance from which it syncs, which reports the slow leaves that it
+// knows. One instance of a large fleet queries a leaf rarely, and would detect too late on its
+// own that the leaf is slow.
 package slowleaves
 
 import (
@@ -11,89 +13,94 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/slowness"
 )
 
-// mostPending bounds the observations that wait to be sent.
-const mostPending = 512
+// maxPending limits the number of observations that wait to be sent.
+const maxPending = 512
 
-// Exchange gathers what this instance and those that ask it see of slow leaves,
-// and keeps what it was sent itself. It guards the kernel's detector by a lock.
+// Exchange collects observations of leaves from this instance and from those that sync from it,
+// and keeps the last report of the instance from which this one syncs. It is safe for
+// concurrent use.
 type Exchange struct {
 	mu       sync.Mutex
 	detector *slowness.Detector
-	pending  []slowness.Observation // for the instance that this one asks
-	others   []slowness.SlowLeaf    // what that one reported
+	pending  []slowness.Observation // to be sent to the instance from which this one syncs
+	reported []slowness.SlowLeaf    // last report of that instance
 }
 
-// New makes an empty one.
+// New returns an empty Exchange.
 func New() *Exchange { return &Exchange{detector: slowness.NewDetector()} }
 
-// Add takes observations, to be passed on.
-func (s *Exchange) Add(list []slowness.Observation, now time.Time) {
-	if len(list) == 0 {
+// Add adds observations to the detector and to those that wait to be sent. Of the latter, those
+// above maxPending are dropped.
+func (e *Exchange) Add(observations []slowness.Observation, now time.Time) {
+	if len(observations) == 0 {
 		return
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.detector.Add(list, now)
-	s.pending = append(s.pending, list[:min(len(list), mostPending-len(s.pending))]...)
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.detector.Add(observations, now)
+	e.pending = append(e.pending, observations[:min(len(observations), maxPending-len(e.pending))]...)
 }
 
-// AddFromPeer takes the observations of an instance that asks. Their ages are as it says:
-// the way here takes about a millisecond.
-func (s *Exchange) AddFromPeer(seen []peerapi.SeenLeaf, now time.Time) {
-	list := make([]slowness.Observation, 0, len(seen))
+// AddFromPeer adds the observations of an instance that syncs from this one. Their ages are
+// used as sent, because the message takes only about a millisecond.
+func (e *Exchange) AddFromPeer(seen []peerapi.SeenLeaf, now time.Time) {
+	observations := make([]slowness.Observation, 0, len(seen))
 	for _, l := range seen {
-		list = append(list, slowness.Observation{Leaf: l.Leaf, Elapsed: ms(l.TookMS), Slow: l.Slow, At: now.Add(-ms(l.AgeMS))})
+		observations = append(observations, slowness.Observation{Leaf: l.Leaf, Elapsed: milliseconds(l.TookMS), Slow: l.Slow, At: now.Add(-milliseconds(l.AgeMS))})
 	}
-	s.Add(list, now)
+	e.Add(observations, now)
 }
 
-// ms converts milliseconds of the wire.
-func ms(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
+// milliseconds returns a number of milliseconds as a Duration.
+func milliseconds(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// TakePending returns what is to be sent to the instance that this one asks.
-func (s *Exchange) TakePending(now time.Time) []peerapi.SeenLeaf {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	out := make([]peerapi.SeenLeaf, 0, len(s.pending))
-	for _, p := range s.pending {
+// TakePending returns the observations for the instance from which this one syncs, and removes
+// them from those that wait to be sent.
+func (e *Exchange) TakePending(now time.Time) []peerapi.SeenLeaf {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	out := make([]peerapi.SeenLeaf, 0, len(e.pending))
+	for _, p := range e.pending {
 		out = append(out, peerapi.SeenLeaf{Leaf: p.Leaf, TookMS: p.Elapsed.Milliseconds(), Slow: p.Slow, AgeMS: now.Sub(p.At).Milliseconds()})
 	}
-	s.pending = s.pending[:0]
+	e.pending = e.pending[:0]
 	return out
 }
 
-// SetPeerReport keeps what the asked instance says.
-func (s *Exchange) SetPeerReport(slow []peerapi.SeenLeaf, began time.Time) {
-	list := make([]slowness.SlowLeaf, 0, len(slow))
+// SetPeerReport replaces the report of the instance from which this one syncs. Its ages count
+// from start, when the sync began.
+func (e *Exchange) SetPeerReport(slow []peerapi.SeenLeaf, start time.Time) {
+	reported := make([]slowness.SlowLeaf, 0, len(slow))
 	for _, l := range slow {
-		list = append(list, slowness.SlowLeaf{Leaf: l.Leaf, Elapsed: ms(l.TookMS), At: began.Add(-ms(l.AgeMS))})
+		reported = append(reported, slowness.SlowLeaf{Leaf: l.Leaf, Elapsed: milliseconds(l.TookMS), At: start.Add(-milliseconds(l.AgeMS))})
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.others = list
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.reported = reported
 }
 
-// SlowLeaves lists the leaves that are taken to be slow here or by the asked instance.
-func (s *Exchange) SlowLeaves(now time.Time) []slowness.SlowLeaf {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	own := s.detector.SlowLeaves(now)
-	known := make(map[string]bool, len(own))
-	for _, l := range own {
-		known[l.Leaf] = true
+// SlowLeaves returns the leaves that are slow according to this instance's detector or to the
+// last report of the instance from which it syncs.
+func (e *Exchange) SlowLeaves(now time.Time) []slowness.SlowLeaf {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	slow := e.detector.SlowLeaves(now)
+	detected := make(map[string]bool, len(slow))
+	for _, l := range slow {
+		detected[l.Leaf] = true
 	}
-	for _, l := range s.others {
-		if !known[l.Leaf] {
-			own = append(own, l)
+	for _, l := range e.reported {
+		if !detected[l.Leaf] {
+			slow = append(slow, l)
 		}
 	}
-	return own
+	return slow
 }
 
-// Report is the list for an instance that asks.
-func (s *Exchange) Report(now time.Time) []peerapi.SeenLeaf {
+// Report returns the slow leaves as they are sent to an instance that syncs from this one.
+func (e *Exchange) Report(now time.Time) []peerapi.SeenLeaf {
 	var out []peerapi.SeenLeaf
-	for _, l := range s.SlowLeaves(now) {
+	for _, l := range e.SlowLeaves(now) {
 		out = append(out, peerapi.SeenLeaf{Leaf: l.Leaf, TookMS: l.Elapsed.Milliseconds(), Slow: true, AgeMS: now.Sub(l.At).Milliseconds()})
 	}
 	return out
