--- a/entry/hosted/forwarding/gather.go
+++ b/entry/hosted/forwarding/gather.go
@@ -73,8 +73,8 @@
 // errNoGatherer is returned if a zone has no available instance by the time its group is sent.
 var errNoGatherer = errors.New("no instance of the zone is available to gather the group")
 
-// Gather implements executor.Gatherer. It offers the group to instances of its zone in turn
-// until one accepts it or does not answer in time.
+// Gather implements executor.Gatherer. It offers the group to up to maxOffers instances of its
+// zone in turn, until one accepts it or does not answer in time.
 func (f *Forwarder) Gather(ctx context.Context, r *executor.Request, g executor.Group, accepted func() bool, onReply func(*executor.GatherReply)) error {
 	start := time.Now()
 	err := errNoGatherer
--- a/entry/hosted/forwarding/gather_test.go
+++ b/entry/hosted/forwarding/gather_test.go
@@ -75,7 +75,7 @@
 		}
 		var notGathered *executor.NotGatheredError
 		if errors.As(err, &notGathered) != tc.notRun {
-			t.Errorf("%s: error %v says that nothing ran: %v, want %v", tc.name, err, !tc.notRun, tc.notRun)
+			t.Errorf("%s: error %v, says that nothing ran: %v", tc.name, err, !tc.notRun)
 		}
 		if healthy := len(n.fleet.Gatherers("y", time.Now())) == 1; healthy != tc.healthy {
 			t.Errorf("%s: the other instance counts as healthy: %v, want %v", tc.name, healthy, tc.healthy)
--- a/entry/hosted/forwarding/relay.go
+++ b/entry/hosted/forwarding/relay.go
@@ -39,8 +39,8 @@
 )
 
 // Relay implements gateway.Relay. It forwards an idempotent query over many shards to an
-// instance of the zone with a larger share of a core. It returns nil if no instance has
-// accepted the request; this instance runs it then.
+// instance of the zone with a larger share of a core. It returns nil if this instance is to run
+// the request itself: it is no such query, or no other instance has accepted it.
 func (f *Forwarder) Relay(ctx context.Context, r *executor.Request) *gateway.Reply {
 	if !fleet.ShouldForward(r.Service.Shards) || !r.Service.Config.Idempotent {
 		return nil
--- a/entry/hosted/statesync/leaves.go
+++ b/entry/hosted/statesync/leaves.go
@@ -50,9 +50,9 @@
 	return r == o
 }
 
-// decodeLeafRecord decodes one leaf of a peer's list. The leaf has its ID also when it is
-// invalid, as far as the ID could be read. A peer of another program version may send a leaf
-// that this one can't decode: only that leaf is not used.
+// decodeLeafRecord decodes one leaf of a peer's list. For an invalid leaf it returns a bad entry
+// and a leaf that has at least the ID, as far as the ID could be read. A peer of another program
+// version may send a leaf that this one can't decode; the other leaves of its list are used.
 func decodeLeafRecord(data json.RawMessage, now time.Time) (catalog.Leaf, *catalog.BadEntry) {
 	var r leafRecord
 	if err := json.Unmarshal(data, &r); err != nil {
--- a/entry/hosted/statesync/state.go
+++ b/entry/hosted/statesync/state.go
@@ -115,7 +115,8 @@
 }
 
 // Reply returns the reply to a peer's request, with the configuration and the leaves as far as
-// they differ from those that the request names. The instances are unknown in it.
+// they differ from those that the request names. InstanceList.FillReply adds the instances;
+// until then the reply says that they are unknown.
 func (s *State) Reply(r *peerapi.SyncRequest, now time.Time) *peerapi.SyncReply {
 	out := &peerapi.SyncReply{
 		ConfigAgeMS: AgeMS(s.LastReads.ConfigAt, now),
--- a/entry/hosted/statesync/state_test.go
+++ b/entry/hosted/statesync/state_test.go
@@ -131,8 +131,8 @@
 	}
 }
 
-// BenchmarkApplyChangeOfOneLeaf measures a received change of one of 415 leaves. It takes 0.31
-// ms. Decoding all leaves again and hashing them as formatted text takes 3.1 ms.
+// BenchmarkApplyChangeOfOneLeaf measures a received change of one of 415 leaves, which takes
+// 0.31 ms. Decoding all leaves again and hashing them as formatted text takes 3.1 ms.
 func BenchmarkApplyChangeOfOneLeaf(b *testing.B) {
 	var leaves []catalog.Leaf
 	for i := range 415 {
