--- a/entry/hosted/statesync/instances.go
+++ b/entry/hosted/statesync/instances.go
@@ -8,23 +8,24 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/fleet"
 )
 
-// instanceRecord is an instance as instances send each other of it.
+// instanceRecord is the encoding of an instance in a list that instances send each other.
 type instanceRecord struct {
 	Name, Zone, Peer string
 	Power            float64 `json:",omitempty"`
-	// Mark is that of the last announcement which the sender has seen.
+	// Mark identifies the last announcement of the instance that the sender has seen.
 	Mark uint64
 }
 
-// Instances is the list of instances that this instance sends to others. It is immutable.
-type Instances struct {
-	// Hash is that of the list, which marks do not change.
+// InstanceList is the encoded list of instances that this instance sends to others. It is
+// immutable.
+type InstanceList struct {
+	// Hash is the hash of the list without the announcement marks.
 	Hash   uint64
 	packed []byte
 }
 
-// NewInstances encodes a list.
-func NewInstances(list []fleet.Instance) (*Instances, error) {
+// NewInstanceList returns the encoded list.
+func NewInstanceList(list []fleet.Instance) (*InstanceList, error) {
 	records := make([]instanceRecord, 0, len(list))
 	for _, i := range list {
 		records = append(records, instanceRecord{Name: i.Name, Zone: i.Zone, Peer: i.PeerAddress, Power: i.CPUs, Mark: i.AnnouncementID})
@@ -33,19 +34,20 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Instances{Hash: fleet.HashInstances(list), packed: packed}, nil
+	return &InstanceList{Hash: fleet.HashInstances(list), packed: packed}, nil
 }
 
-// Write fills in the list where it differs from the one with the given hash.
-func (i *Instances) Write(from uint64, out *peerapi.SyncReply) {
-	out.Fleet = i.Hash
-	if i.Hash != from {
-		out.Instances = i.packed
+// FillReply fills in the hash of the list, and the list itself if its hash is not the one that
+// the peer has.
+func (l *InstanceList) FillReply(peerHash uint64, out *peerapi.SyncReply) {
+	out.Fleet = l.Hash
+	if l.Hash != peerHash {
+		out.Instances = l.packed
 	}
 }
 
-// decodeInstances reads a list of instances; nil: it is the one asked with. An entry that
-// can't be used names no instance, and the others hold.
+// decodeInstances decodes a list of instances; nil if the peer has sent none, because the list
+// is unchanged or unknown to it. Invalid entries are skipped.
 func decodeInstances(reply *peerapi.SyncReply) ([]fleet.Instance, error) {
 	if reply.Instances == nil {
 		return nil, nil
