--- a/entry/executor/bench_test.go
+++ b/entry/executor/bench_test.go
@@ -18,7 +18,7 @@
 
 func (instant) Run(_ context.Context, _ leafclient.Target, r *leafclient.Request, sent func() bool) (*leafclient.Reply, error) {
 	sent()
-	return &leafclient.Reply{Version: 1, Ranges: []keyrange.Range{r.Range}, Said: leafclient.Said{Versions: []uint64{1}}}, nil
+	return &leafclient.Reply{Version: 1, Ranges: []keyrange.Range{r.Range}, LeafStatus: leafclient.LeafStatus{Versions: []uint64{1}}}, nil
 }
 
 // BenchmarkExecute measures the executor's own cost of a query over leaves that
--- a/entry/executor/exchange.go
+++ b/entry/executor/exchange.go
@@ -37,7 +37,7 @@
 	// sent: a leaf that breaks whatever comes is lost, and proves nothing.
 	up := e.leafState.up(s.leaf.ID)
 	target := leafclient.Target{ID: s.leaf.ID, Name: s.leaf.Name, Address: s.leaf.Address, Connections: s.leaf.Connections, DialCost: s.dialCost}
-	request := &leafclient.Request{ID: a.run.id, Attempt: a.token, Version: a.offer.Version, Range: a.offer.Part.Range, Body: a.run.request.Body, Passed: a.run.request.Passed}
+	request := &leafclient.Request{ID: a.run.id, Attempt: a.token, Version: a.offer.Version, Range: a.offer.Part.Range, Body: a.run.request.Body, Forwarded: a.run.request.Passed}
 	reply, err := e.config.Leaves.Run(s.ctx, target, request, func() bool { return a.run.maySend(a, leaf) })
 	if err != nil {
 		a.run.service.metrics.Attempt(attemptOutcome(s.ctx, err), s.action.QueueTime)
@@ -46,10 +46,10 @@
 	}
 	a.run.sawRun()
 	a.run.sawReply(a, time.Since(a.started))
-	e.Learn(s.leaf.ID, reply.Said)
+	e.Learn(s.leaf.ID, reply.LeafStatus)
 	a.run.service.metrics.Attempt(telemetry.AttemptReply, s.action.QueueTime)
 	p.finish(a, dispatch.OutcomeReply, reply.Service)
-	a.run.mail.put(query.Reply{Attempt: a.offer.Attempt, Leaf: leaf, Version: reply.Version, Ranges: reply.Ranges, Body: reply.Body, Versions: reply.Versions, Attachment: reply.Carried})
+	a.run.mail.put(query.Reply{Attempt: a.offer.Attempt, Leaf: leaf, Version: reply.Version, Ranges: reply.Ranges, Body: reply.Body, Versions: reply.Versions, Attachment: reply.Attachment})
 }
 
 // attemptOutcome is the metrics' label of a failed exchange.
@@ -99,7 +99,7 @@
 		p.finish(a, outcome, 0)
 		a.run.mail.put(query.NotSent{Attempt: id, Leaf: leaf, Reason: query.ReasonDialFailed})
 	case errors.As(err, &declined):
-		e.Learn(declined.Leaf, declined.Said)
+		e.Learn(declined.Leaf, declined.LeafStatus)
 		outcome := dispatch.OutcomeDeclined
 		if declined.Reason == leafapi.DeclineOverloaded {
 			outcome = dispatch.OutcomeShed
@@ -112,12 +112,12 @@
 		if closed || lost {
 			e.leafState.sawBreak(a.leafID, time.Now())
 		}
-		if broken.Carried != nil {
+		if broken.Failure != nil {
 			a.run.sawRun()
 		}
 		p.finish(a, brokenOutcome(broken.Cause), 0)
 		crash := closed && x.up || lost && e.lost(a)
-		a.run.mail.put(query.Broken{Attempt: id, Leaf: leaf, Cause: string(broken.Cause), Crash: crash, Failure: broken.Carried})
+		a.run.mail.put(query.Broken{Attempt: id, Leaf: leaf, Cause: string(broken.Cause), Crash: crash, Failure: broken.Failure})
 	default:
 		p.finish(a, dispatch.OutcomeBroken, 0)
 		a.run.mail.put(query.Broken{Attempt: id, Leaf: leaf, Cause: "internal"})
@@ -151,12 +151,12 @@
 }
 
 // Learn keeps what a leaf said of itself. It implements probe.Learner.
-func (e *Executor) Learn(leafID string, said leafclient.Said) {
+func (e *Executor) Learn(leafID string, said leafclient.LeafStatus) {
 	if e.leafState.saw(leafID, said, time.Now()) {
-		e.config.LeafObserver.SawBorn(leafID, said.Born)
+		e.config.LeafObserver.SawBorn(leafID, said.StartMillis)
 	}
 	if said.Draining {
-		e.config.LeafObserver.SawLeaving(leafID, said.Born)
+		e.config.LeafObserver.SawLeaving(leafID, said.StartMillis)
 	}
 }
 
--- a/entry/executor/executor.go
+++ b/entry/executor/executor.go
@@ -41,7 +41,7 @@
 	Caller  *document.Caller
 	Body    []byte
 	// Passed is the request where it is handed on to leaves as it came; see Forward.
-	Passed   *leafclient.Passed
+	Passed   *leafclient.ForwardedRequest
 	Key      string // Idempotency-Key, "" if none was given
 	Start    time.Time
 	Deadline time.Time
--- a/entry/executor/executor_test.go
+++ b/entry/executor/executor_test.go
@@ -72,12 +72,12 @@
 			}
 		}
 		if version == 0 {
-			return nil, &leafclient.DeclinedError{Leaf: t.ID, Reason: leafapi.DeclineWrongVersion, Said: leafclient.Said{Versions: versions}}
+			return nil, &leafclient.DeclinedError{Leaf: t.ID, Reason: leafapi.DeclineWrongVersion, LeafStatus: leafclient.LeafStatus{Versions: versions}}
 		}
 		f.count(t.ID)
 		select {
 		case <-time.After(d):
-			return &leafclient.Reply{Version: version, Ranges: []keyrange.Range{r.Range}, Body: fmt.Appendf(nil, "%s@%d", r.Range, version), Said: leafclient.Said{Versions: versions}}, nil
+			return &leafclient.Reply{Version: version, Ranges: []keyrange.Range{r.Range}, Body: fmt.Appendf(nil, "%s@%d", r.Range, version), LeafStatus: leafclient.LeafStatus{Versions: versions}}, nil
 		case <-ctx.Done():
 			return nil, &leafclient.BrokenError{Leaf: t.ID, Cause: leafclient.CauseCancelled, Err: ctx.Err()}
 		}
@@ -215,7 +215,7 @@
 				}
 				id := fmt.Sprintf("l%d-%s", i, r)
 				b.leaves.by[id] = b.leaves.serve(5*time.Millisecond, versions...)
-				b.executor.Learn(id, leafclient.Said{Versions: []uint64{1}}) // what was last seen is old
+				b.executor.Learn(id, leafclient.LeafStatus{Versions: []uint64{1}}) // what was last seen is old
 			}
 		}
 		resp, err := b.ask(t.Context(), "ask")
@@ -354,7 +354,7 @@
 		late := func(_ context.Context, t leafclient.Target, r *leafclient.Request, sent func() bool) (*leafclient.Reply, error) {
 			time.Sleep(2 * time.Second) // past the deadline, deaf to the context
 			if !sent() {
-				return nil, &leafclient.DialError{Leaf: t.ID, Err: leafclient.ErrRecalled}
+				return nil, &leafclient.DialError{Leaf: t.ID, Err: leafclient.ErrCancelledBeforeSend}
 			}
 			b.leaves.count(t.ID)
 			return &leafclient.Reply{Version: 1, Ranges: []keyrange.Range{r.Range}}, nil
--- a/entry/executor/leafstate.go
+++ b/entry/executor/leafstate.go
@@ -58,7 +58,7 @@
 
 // saw notes what a leaf says of itself, and returns whether it reported a start that was
 // not known.
-func (s *leafState) saw(leafID string, said leafclient.Said, now time.Time) (started bool) {
+func (s *leafState) saw(leafID string, said leafclient.LeafStatus, now time.Time) (started bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	i, ok := s.index[leafID]
@@ -72,10 +72,10 @@
 	if len(said.Versions) > 0 {
 		s.tracker.Observe(i, said.Versions)
 	}
-	if said.Born == 0 || said.Born == s.born[leafID] {
+	if said.StartMillis == 0 || said.StartMillis == s.born[leafID] {
 		return false
 	}
-	s.born[leafID] = said.Born
+	s.born[leafID] = said.StartMillis
 	return true
 }
 
--- a/entry/executor/quarantine.go
+++ b/entry/executor/quarantine.go
@@ -85,7 +85,7 @@
 	mac.Write([]byte{0})
 	mac.Write(r.Body)
 	if r.Passed != nil {
-		r.Passed.Identify(mac)
+		r.Passed.WriteIdentity(mac)
 	}
 	return hex.EncodeToString(mac.Sum(nil)[:fingerprintBytes])
 }
--- a/entry/gateway/answer.go
+++ b/entry/gateway/answer.go
@@ -119,11 +119,11 @@
 // whole hands a leaf's response on. A failure that a leaf stated is handed on
 // when there is nothing better.
 func (g *Gateway) whole(answer *query.Answer) *Reply {
-	var handed *leafclient.Handed
+	var handed *leafclient.ForwardedResponse
 	if len(answer.Results) == 1 {
-		handed, _ = answer.Results[0].Attachment.(*leafclient.Handed)
+		handed, _ = answer.Results[0].Attachment.(*leafclient.ForwardedResponse)
 	} else {
-		handed, _ = answer.Failure.(*leafclient.Handed)
+		handed, _ = answer.Failure.(*leafclient.ForwardedResponse)
 	}
 	if handed == nil {
 		return failed(answer).reply()
--- a/entry/gateway/connection.go
+++ b/entry/gateway/connection.go
@@ -27,8 +27,8 @@
 // connectionKey is where a request's context holds its connection.
 type connectionKey struct{}
 
-// Connected notes a new connection; it is the ConnContext of the server.
-func Connected(ctx context.Context, c net.Conn) context.Context {
+// WithConnection notes a new connection; it is the ConnContext of the server.
+func WithConnection(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connectionKey{}, &connection{opened: time.Now(), roundTrip: roundTrip(c)})
 }
 
--- a/entry/gateway/connection_test.go
+++ b/entry/gateway/connection_test.go
@@ -35,7 +35,7 @@
 // TestWayOfAConnection checks that the first request counts the opening of its
 // connection, later ones don't, and one that came long after the opening doesn't.
 func TestWayOfAConnection(t *testing.T) {
-	ctx := Connected(context.Background(), accepted(t))
+	ctx := WithConnection(context.Background(), accepted(t))
 	c := ctx.Value(connectionKey{}).(*connection)
 	if c.roundTrip <= 0 {
 		t.Fatal("TCP has measured no round trip")
@@ -49,7 +49,7 @@
 	if want := margin.NetworkDelay(c.roundTrip, false, 0); next != want {
 		t.Errorf("next request %v, want %v", next, want)
 	}
-	ahead := Connected(context.Background(), accepted(t))
+	ahead := WithConnection(context.Background(), accepted(t))
 	c = ahead.Value(connectionKey{}).(*connection)
 	if got, want := wayOf(ahead, c.opened.Add(time.Second)), margin.NetworkDelay(c.roundTrip, false, 0); got != want {
 		t.Errorf("a connection opened ahead: %v, want %v", got, want)
@@ -62,7 +62,7 @@
 	defer a.Close()
 	defer b.Close()
 	now := time.Now()
-	if got := wayOf(Connected(context.Background(), a), now); got != margin.DefaultNetworkDelay {
+	if got := wayOf(WithConnection(context.Background(), a), now); got != margin.DefaultNetworkDelay {
 		t.Errorf("a pipe: %v, want %v", got, margin.DefaultNetworkDelay)
 	}
 	if got := wayOf(context.Background(), now); got != margin.DefaultNetworkDelay {
--- a/entry/gateway/gateway.go
+++ b/entry/gateway/gateway.go
@@ -116,23 +116,23 @@
 	reply.write(w, r.Method)
 }
 
-// Handed is a request that another instance hands over.
-type Handed struct {
-	Passed *leafclient.Passed
+// RelayedRequest is a request that another instance hands over.
+type RelayedRequest struct {
+	Forwarded *leafclient.ForwardedRequest
 	// Start is when it came in, and Deadline when it must be answered.
 	Start, Deadline time.Time
-	// Way is executor.Request.Way.
-	Way time.Duration
+	// NetworkDelay is executor.Request.Way.
+	NetworkDelay time.Duration
 }
 
-// Run runs a request that another instance hands over, by the given view.
-func (g *Gateway) Run(ctx context.Context, v *view.View, h Handed) *Reply {
-	service, refused := g.service(v, h.Passed.Host, h.Passed.Target)
+// RunRelayed runs a request that another instance hands over, by the given view.
+func (g *Gateway) RunRelayed(ctx context.Context, v *view.View, h RelayedRequest) *Reply {
+	service, refused := g.service(v, h.Forwarded.Host, h.Forwarded.Target)
 	if refused != nil {
 		return refused.reply()
 	}
 	req := &executor.Request{
-		View: v, Service: service, Caller: passedCaller, Start: h.Start, Deadline: h.Deadline, Way: h.Way, Passed: h.Passed,
+		View: v, Service: service, Caller: passedCaller, Start: h.Start, Deadline: h.Deadline, Way: h.NetworkDelay, Passed: h.Forwarded,
 	}
 	answer, err := g.config.Executor.Forward(ctx, req)
 	reply := g.reply(req, answer, err)
@@ -140,8 +140,8 @@
 	return reply
 }
 
-// Routed reports whether a view has a route for a request.
-func Routed(v *view.View, host, target string) bool {
+// HasRoute reports whether a view has a route for a request.
+func HasRoute(v *view.View, host, target string) bool {
 	return v.Routes.Match(host, pathOf(target)) != nil
 }
 
@@ -187,7 +187,7 @@
 	}
 	return &executor.Request{
 		View: v, Service: service, Caller: passedCaller, Start: start, Deadline: deadline, Way: wayOf(r.Context(), start),
-		Passed: &leafclient.Passed{
+		Passed: &leafclient.ForwardedRequest{
 			ID: r.Header.Get(g.config.Headers.RequestID), Method: r.Method, Target: target, Host: r.Host,
 			Header: endToEnd(r.Header), Body: body,
 		},
--- a/entry/gateway/gather.go
+++ b/entry/gateway/gather.go
@@ -11,17 +11,17 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/view"
 )
 
-// Group is what another instance asks this one to gather.
-type Group struct {
-	Handed
-	Service *view.Service
-	Only    []query.Group
+// GatherRequest is what another instance asks this one to gather.
+type GatherRequest struct {
+	RelayedRequest
+	Service     *view.Service
+	ShardGroups []query.Group
 }
 
-// Gathered is what came of it: parts of one configuration, merged into one.
-type Gathered struct {
-	// Going says that more may come.
-	Going bool
+// GatherResult is what came of it: parts of one configuration, merged into one.
+type GatherResult struct {
+	// HasMore says that more may come.
+	HasMore bool
 	// Version is the index version of the parts.
 	Version uint64
 	Ranges  []keyrange.Range
@@ -32,10 +32,10 @@
 	Sent, Hedges, Retries int
 }
 
-// Gathering is a group in progress.
-type Gathering struct {
+// GatherStream is a group in progress.
+type GatherStream struct {
 	gateway *Gateway
-	group   Group
+	group   GatherRequest
 	wake    chan struct{}
 
 	mu     sync.Mutex
@@ -51,12 +51,12 @@
 
 // Gather begins to gather parts of a request for another instance, by the given
 // view. It goes on until the context ends or all is there.
-func (g *Gateway) Gather(ctx context.Context, v *view.View, group Group) *Gathering {
-	x := &Gathering{gateway: g, group: group, wake: make(chan struct{}, 1), sentOn: make(map[keyrange.Range]bool)}
+func (g *Gateway) Gather(ctx context.Context, v *view.View, group GatherRequest) *GatherStream {
+	x := &GatherStream{gateway: g, group: group, wake: make(chan struct{}, 1), sentOn: make(map[keyrange.Range]bool)}
 	go func() {
 		answer, err := g.config.Executor.Forward(ctx, &executor.Request{
 			View: v, Service: group.Service, Caller: passedCaller, Start: group.Start, Deadline: group.Deadline,
-			Way: group.Way, Passed: group.Passed, Only: group.Only, Interim: func(a *query.Answer) { x.set(a, nil, false) },
+			Way: group.NetworkDelay, Passed: group.Forwarded, Only: group.ShardGroups, Interim: func(a *query.Answer) { x.set(a, nil, false) },
 		})
 		x.set(answer, err, true)
 	}()
@@ -64,7 +64,7 @@
 }
 
 // set takes the newest answer.
-func (x *Gathering) set(answer *query.Answer, err error, done bool) {
+func (x *GatherStream) set(answer *query.Answer, err error, done bool) {
 	x.mu.Lock()
 	x.answer, x.err, x.done = answer, err, done
 	x.mu.Unlock()
@@ -76,7 +76,7 @@
 
 // Next waits until there is a result that was not returned before. The error is
 // an *executor.RefusedError, where nothing has run, or the context's.
-func (x *Gathering) Next(ctx context.Context) (*Gathered, error) {
+func (x *GatherStream) Next(ctx context.Context) (*GatherResult, error) {
 	for {
 		select {
 		case <-x.wake:
@@ -91,14 +91,14 @@
 }
 
 // fresh is what was not returned yet; nil: nothing.
-func (x *Gathering) fresh() (*Gathered, error) {
+func (x *GatherStream) fresh() (*GatherResult, error) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if x.err != nil {
 		return nil, x.err
 	}
 	first := len(x.sentOn) == 0
-	out := &Gathered{Going: !x.done, Version: x.answer.Version}
+	out := &GatherResult{HasMore: !x.done, Version: x.answer.Version}
 	var parts merging
 	for _, r := range x.answer.Results {
 		if x.sentOn[r.Part.Range] || !parts.add(r) {
@@ -128,10 +128,10 @@
 // add takes a result in and reports whether it is a part.
 func (m *merging) add(r query.Result) bool {
 	switch c := r.Attachment.(type) {
-	case *leafclient.Handed:
+	case *leafclient.ForwardedResponse:
 		m.bodies = append(m.bodies, c.Body)
 		m.signatures = append(m.signatures, c.Signature)
-	case *Gathered:
+	case *GatherResult:
 		m.bodies = append(m.bodies, c.Body)
 		m.signatures = append(m.signatures, c.Signatures...)
 	default:
--- a/entry/hosted/forwarding/gather.go
+++ b/entry/hosted/forwarding/gather.go
@@ -152,7 +152,7 @@
 	}
 	return &executor.GatherReply{
 		Version: g.Index, Ranges: keyRanges(g.Ranges), Going: g.Going, Sent: g.Sent, Hedges: g.Hedges, Retries: g.Retries,
-		Carried: &gateway.Gathered{Signatures: g.Signatures, Body: reply.Body},
+		Carried: &gateway.GatherResult{Signatures: g.Signatures, Body: reply.Body},
 	}
 }
 
@@ -216,13 +216,13 @@
 }
 
 // runGather gathers a group for another instance.
-func (f *Forwarder) runGather(ctx context.Context, v *view.View, r *peerapi.ForwardRequest, handed gateway.Handed) (*peerapi.ForwardReply, peer.Rest) {
+func (f *Forwarder) runGather(ctx context.Context, v *view.View, r *peerapi.ForwardRequest, handed gateway.RelayedRequest) (*peerapi.ForwardReply, peer.Rest) {
 	if why := f.offerGather(v, r); why != "" { // it changed since the offer
 		return &peerapi.ForwardReply{Version: v.Generation, Gathered: &peerapi.Gathered{Refused: why}}, nil
 	}
 	began := time.Now()
-	gathering := f.gateway.Gather(ctx, v, gateway.Group{
-		Handed: handed, Service: v.Services[r.Gather.Service], Only: onlyOf(v, r.Gather),
+	gathering := f.gateway.Gather(ctx, v, gateway.GatherRequest{
+		RelayedRequest: handed, Service: v.Services[r.Gather.Service], ShardGroups: onlyOf(v, r.Gather),
 	})
 	next := func(ctx context.Context) (*peerapi.ForwardReply, bool) {
 		reply := gatheredReply(gathering.Next(ctx))
@@ -238,12 +238,12 @@
 }
 
 // gatheredReply writes what was gathered for the wire.
-func gatheredReply(got *gateway.Gathered, err error) *peerapi.ForwardReply {
+func gatheredReply(got *gateway.GatherResult, err error) *peerapi.ForwardReply {
 	if err != nil {
 		return &peerapi.ForwardReply{Gathered: &peerapi.Gathered{Refused: err.Error()}}
 	}
 	out := &peerapi.Gathered{
-		Index: got.Version, Signatures: got.Signatures, Going: got.Going, Sent: got.Sent, Hedges: got.Hedges, Retries: got.Retries,
+		Index: got.Version, Signatures: got.Signatures, Going: got.HasMore, Sent: got.Sent, Hedges: got.Hedges, Retries: got.Retries,
 	}
 	for _, k := range got.Ranges {
 		out.Ranges = append(out.Ranges, peerapi.Range{k.From, k.To})
--- a/entry/hosted/forwarding/relay.go
+++ b/entry/hosted/forwarding/relay.go
@@ -174,7 +174,7 @@
 	case v.Generation < r.Version:
 		f.config.SyncNow()
 		return "older configuration"
-	case !gateway.Routed(v, r.Host, r.Target):
+	case !gateway.HasRoute(v, r.Host, r.Target):
 		return "no route"
 	}
 	return ""
@@ -184,15 +184,15 @@
 func (f *Forwarder) RunOffered(ctx context.Context, r *peerapi.ForwardRequest) (*peerapi.ForwardReply, peer.Rest) {
 	v := f.config.Views.View()
 	now := time.Now()
-	handed := gateway.Handed{
-		Passed: &leafclient.Passed{ID: r.Request, Method: r.Method, Target: r.Target, Host: r.Host, Header: r.Header, Body: r.Body},
-		Start:  now.Add(-time.Duration(r.SpentUS) * time.Microsecond), Deadline: now.Add(time.Duration(r.LeftUS) * time.Microsecond),
-		Way: time.Duration(r.WayUS) * time.Microsecond,
+	handed := gateway.RelayedRequest{
+		Forwarded: &leafclient.ForwardedRequest{ID: r.Request, Method: r.Method, Target: r.Target, Host: r.Host, Header: r.Header, Body: r.Body},
+		Start:     now.Add(-time.Duration(r.SpentUS) * time.Microsecond), Deadline: now.Add(time.Duration(r.LeftUS) * time.Microsecond),
+		NetworkDelay: time.Duration(r.WayUS) * time.Microsecond,
 	}
 	if r.Gather != nil {
 		return f.runGather(ctx, v, r, handed)
 	}
-	reply := f.gateway.Run(ctx, v, handed)
+	reply := f.gateway.RunRelayed(ctx, v, handed)
 	return &peerapi.ForwardReply{
 		Version: v.Generation, Status: reply.Status, Header: reply.Header, Body: reply.Body, RunUS: time.Since(now).Microseconds(),
 	}, nil
--- a/entry/hosted/serve.go
+++ b/entry/hosted/serve.go
@@ -42,7 +42,7 @@
 // clientServer serves passed-on requests.
 func (n *Node) clientServer() *http.Server {
 	return &http.Server{
-		Handler: n.gateway, ConnContext: gateway.Connected,
+		Handler: n.gateway, ConnContext: gateway.WithConnection,
 		ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout,
 	}
 }
--- a/entry/leafclient/conns.go
+++ b/entry/leafclient/conns.go
@@ -95,13 +95,13 @@
 	blocked atomic.Bool // an attempt was recalled: nothing more is written
 }
 
-// ErrRecalled says that an attempt was recalled before it was sent.
-var ErrRecalled = errors.New("recalled before it was sent")
+// ErrCancelledBeforeSend says that an attempt was recalled before it was sent.
+var ErrCancelledBeforeSend = errors.New("recalled before it was sent")
 
 // Write writes, unless the attempt that took the connection was recalled.
 func (c *countedConn) Write(b []byte) (int, error) {
 	if c.blocked.Load() {
-		return 0, ErrRecalled
+		return 0, ErrCancelledBeforeSend
 	}
 	return c.Conn.Write(b)
 }
--- a/entry/leafclient/errors.go
+++ b/entry/leafclient/errors.go
@@ -29,7 +29,7 @@
 	Leaf   string
 	Reason leafapi.Decline
 	Ranges []keyrange.Range
-	Said
+	LeafStatus
 }
 
 // Error implements error.
@@ -55,9 +55,9 @@
 	Leaf  string
 	Cause Cause
 	Err   error
-	// Carried is the failure as the leaf stated it, for the caller; nil when
+	// Failure is the failure as the leaf stated it, for the caller; nil when
 	// the leaf stated none.
-	Carried any
+	Failure any
 }
 
 // Error implements error.
--- a/entry/leafclient/exchanger.go
+++ b/entry/leafclient/exchanger.go
@@ -22,20 +22,20 @@
 	leaves  map[string]*sockets // by Target.key
 }
 
-// Outgoing is one request of an Exchanger.
-type Outgoing struct {
+// ExchangeRequest is one request of an Exchanger.
+type ExchangeRequest struct {
 	Method string
-	// Head writes the request line and the headers with the empty line that ends
+	// AppendHead writes the request line and the headers with the empty line that ends
 	// them; left is the time until the deadline.
-	Head func(buf []byte, left time.Duration) []byte
-	Body []byte
-	// Mine reports whether a response belongs to this request. One that does not
+	AppendHead func(buf []byte, left time.Duration) []byte
+	Body       []byte
+	// Matches reports whether a response belongs to this request. One that does not
 	// ends the connection.
-	Mine func(h http.Header) bool
+	Matches func(h http.Header) bool
 }
 
-// Incoming is a whole response.
-type Incoming struct {
+// ExchangeResponse is a whole response.
+type ExchangeResponse struct {
 	Status int
 	Header http.Header
 	Body   []byte
@@ -57,7 +57,7 @@
 // Do carries one exchange. The sent callback is called once, before any byte
 // can have reached the leaf; if it returns false, none will, and the exchange
 // ends with a *DialError. The error, if any, is a *DialError or *BrokenError.
-func (x *Exchanger) Do(ctx context.Context, t Target, out *Outgoing, sent func() bool) (*Incoming, error) {
+func (x *Exchanger) Do(ctx context.Context, t Target, out *ExchangeRequest, sent func() bool) (*ExchangeResponse, error) {
 	s := x.leaf(t)
 	c, err := s.get(ctx)
 	if err != nil {
@@ -65,7 +65,7 @@
 	}
 	if !sent() {
 		s.put(c)
-		return nil, &DialError{Leaf: t.ID, Err: ErrRecalled}
+		return nil, &DialError{Leaf: t.ID, Err: ErrCancelledBeforeSend}
 	}
 	in, keep, err := x.exchange(ctx, c, out)
 	if err != nil {
@@ -82,7 +82,7 @@
 
 // exchange sends the request and reads the whole response. It reports whether
 // the connection may carry another exchange.
-func (x *Exchanger) exchange(ctx context.Context, c *socket, out *Outgoing) (in *Incoming, keep bool, err error) {
+func (x *Exchanger) exchange(ctx context.Context, c *socket, out *ExchangeRequest) (in *ExchangeResponse, keep bool, err error) {
 	deadline, ok := ctx.Deadline()
 	if !ok {
 		deadline = time.Now().Add(dialTimeout)
@@ -105,7 +105,7 @@
 		return nil, false, err
 	}
 	defer resp.Body.Close()
-	if !out.Mine(resp.Header) {
+	if !out.Matches(resp.Header) {
 		return nil, false, errForeign
 	}
 	body, err := x.body(resp)
@@ -114,7 +114,7 @@
 	}
 	keep = !resp.Close && c.reader.Buffered() == 0 && written() && c.conn.SetDeadline(time.Time{}) == nil
 	c.noteTimeout(resp.Header.Get("Keep-Alive"))
-	return &Incoming{Status: resp.StatusCode, Header: resp.Header, Body: body, Closing: resp.Close}, keep, nil
+	return &ExchangeResponse{Status: resp.StatusCode, Header: resp.Header, Body: body, Closing: resp.Close}, keep, nil
 }
 
 // body reads a whole body. One without a length ends with its connection; a
--- a/entry/leafclient/leafclient.go
+++ b/entry/leafclient/leafclient.go
@@ -38,8 +38,8 @@
 	DialCost time.Duration
 }
 
-// Called is what the leaf calls itself.
-func (t Target) Called() string {
+// NameOrID is what the leaf calls itself.
+func (t Target) NameOrID() string {
 	if t.Name != "" {
 		return t.Name
 	}
@@ -53,17 +53,17 @@
 	Version uint64 // wanted index version, 0 for any
 	Range   keyrange.Range
 	Body    []byte
-	// Passed is the caller's request where it is handed on as it came; nil for
+	// Forwarded is the caller's request where it is handed on as it came; nil for
 	// the own protocol, which sends Body.
-	Passed *Passed
+	Forwarded *ForwardedRequest
 }
 
-// Said is what a leaf says of itself, with each reply or when it is asked.
-type Said struct {
+// LeafStatus is what a leaf says of itself, with each reply or when it is asked.
+type LeafStatus struct {
 	Versions []uint64 // of the index that it serves now
 	Draining bool
-	// Born is the leaf's start by its own clock, in Unix milliseconds; 0: not reported.
-	Born int64
+	// StartMillis is the leaf's start by its own clock, in Unix milliseconds; 0: not reported.
+	StartMillis int64
 }
 
 // Reply is a whole and checked reply.
@@ -71,12 +71,12 @@
 	Version uint64
 	Ranges  []keyrange.Range
 	Body    []byte
-	Said
+	LeafStatus
 	// Service is how long the leaf says that the request held a slot; 0 if it did not say.
 	Service time.Duration
-	// Carried is what the protocol's implementation hands on with the answer,
+	// Attachment is what the protocol's implementation hands on with the answer,
 	// for whoever writes it to the caller; nil in the own protocol.
-	Carried any
+	Attachment any
 }
 
 // Client reaches leaves. It is safe for concurrent use.
@@ -172,9 +172,9 @@
 	if err != nil {
 		return nil, &BrokenError{Leaf: t.ID, Cause: CauseMalformed, Err: err}
 	}
-	said := Said{
+	said := LeafStatus{
 		Versions: versions, Draining: resp.Header.Get(leafapi.HeaderDraining) == "1",
-		Born: leafapi.ParseBorn(resp.Header.Get(leafapi.HeaderBorn)),
+		StartMillis: leafapi.ParseBorn(resp.Header.Get(leafapi.HeaderBorn)),
 	}
 	if decline := resp.Header.Get(leafapi.HeaderNotRun); decline != "" && resp.StatusCode >= http.StatusBadRequest {
 		return nil, declined(t, resp, leafapi.Decline(decline), said)
@@ -189,7 +189,7 @@
 	if int64(len(body)) > c.maxBody {
 		return nil, &BrokenError{Leaf: t.ID, Cause: CauseMalformed, Err: errors.New("reply body over the limit")}
 	}
-	reply := &Reply{Body: body, Said: said}
+	reply := &Reply{Body: body, LeafStatus: said}
 	if err := reply.parseHeaders(r, resp.Header); err != nil {
 		return nil, &BrokenError{Leaf: t.ID, Cause: CauseMalformed, Err: err}
 	}
@@ -197,13 +197,13 @@
 }
 
 // declined reads the refusal of a leaf and leaves the connection reusable.
-func declined(t Target, resp *http.Response, reason leafapi.Decline, said Said) error {
+func declined(t Target, resp *http.Response, reason leafapi.Decline, said LeafStatus) error {
 	ranges, err := keyrange.ParseList(resp.Header.Get(leafapi.HeaderRanges))
 	if err != nil {
 		ranges = nil // the ranges of a decline are a hint only
 	}
 	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, 1<<12))
-	return &DeclinedError{Leaf: t.ID, Reason: reason, Ranges: ranges, Said: said}
+	return &DeclinedError{Leaf: t.ID, Reason: reason, Ranges: ranges, LeafStatus: said}
 }
 
 // parseHeaders fills the reply from its headers and compares attempt and checksum.
--- a/entry/leafclient/passed.go
+++ b/entry/leafclient/passed.go
@@ -5,8 +5,8 @@
 	"net/http"
 )
 
-// Passed is a caller's request that is handed on to a leaf unchanged.
-type Passed struct {
+// ForwardedRequest is a caller's request that is handed on to a leaf unchanged.
+type ForwardedRequest struct {
 	// ID is the caller's own name of the request.
 	ID     string
 	Method string
@@ -18,8 +18,8 @@
 	Body   []byte
 }
 
-// Identify writes what makes two requests the same request: everything but the ID.
-func (p *Passed) Identify(w io.Writer) {
+// WriteIdentity writes what makes two requests the same request: everything but the ID.
+func (p *ForwardedRequest) WriteIdentity(w io.Writer) {
 	for _, s := range []string{p.Method, p.Host, p.Target} {
 		_, _ = io.WriteString(w, s) // a hash takes all
 		_, _ = w.Write([]byte{0})
@@ -27,9 +27,9 @@
 	_, _ = w.Write(p.Body)
 }
 
-// Handed is a leaf's response that is handed on to the caller, as a whole or as
+// ForwardedResponse is a leaf's response that is handed on to the caller, as a whole or as
 // a part of a combined answer.
-type Handed struct {
+type ForwardedResponse struct {
 	Status int
 	// Header holds the end-to-end headers.
 	Header http.Header
--- a/entry/leafclient/sockets.go
+++ b/entry/leafclient/sockets.go
@@ -175,8 +175,8 @@
 
 // send writes a request. A long body is written while the response is awaited;
 // written then reports whether all of it has gone out.
-func (c *socket) send(out *Outgoing, left time.Duration) (written func() bool, err error) {
-	c.buf = out.Head(c.buf[:0], left)
+func (c *socket) send(out *ExchangeRequest, left time.Duration) (written func() bool, err error) {
+	c.buf = out.AppendHead(c.buf[:0], left)
 	if len(c.buf)+len(out.Body) <= wholeWrite {
 		c.buf = append(c.buf, out.Body...)
 		_, err := c.conn.Write(c.buf)
--- a/entry/probe/probe.go
+++ b/entry/probe/probe.go
@@ -38,7 +38,7 @@
 type Learner interface {
 	// LastReply is when the leaf last said something, or the zero time.
 	LastReply(leafID string) time.Time
-	Learn(leafID string, said leafclient.Said)
+	Learn(leafID string, said leafclient.LeafStatus)
 }
 
 // Config is what a prober needs.
@@ -132,7 +132,7 @@
 	if err != nil || h.ID != t.ID {
 		return // nothing is learnt of a leaf that doesn't answer as itself
 	}
-	p.config.Learner.Learn(t.ID, leafclient.Said{Versions: h.Versions, Draining: h.Draining, Born: h.Born})
+	p.config.Learner.Learn(t.ID, leafclient.LeafStatus{Versions: h.Versions, Draining: h.Draining, StartMillis: h.Born})
 }
 
 // TargetOf says how a leaf of the view is reached.
--- a/entry/probe/probe_test.go
+++ b/entry/probe/probe_test.go
@@ -60,12 +60,12 @@
 	return f.heard[id]
 }
 
-func (f *fake) Learn(id string, said leafclient.Said) {
+func (f *fake) Learn(id string, said leafclient.LeafStatus) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.heard[id] = time.Now()
 	f.learned[id] = said.Versions
-	f.born[id] = said.Born
+	f.born[id] = said.StartMillis
 }
 
 // counts returns what was asked of a leaf so far.
@@ -133,7 +133,7 @@
 		set(testView(1, ""))
 		for range 20 {
 			time.Sleep(500 * time.Millisecond)
-			f.Learn("a", leafclient.Said{Versions: []uint64{7}}) // by queries
+			f.Learn("a", leafclient.LeafStatus{Versions: []uint64{7}}) // by queries
 		}
 		_, busy := f.counts("a")
 		_, quiet := f.counts("b")
