--- a/entry/leafclient/conns.go
+++ b/entry/leafclient/conns.go
@@ -19,103 +19,108 @@
 // idleTimeout is how long an unused connection is kept.
 const idleTimeout = 5 * time.Minute
 
-// leafConn is the connections to one leaf.
-type leafConn struct {
+// leafTransport is the HTTP transport of one leaf with its connection quota.
+type leafTransport struct {
 	transport *http.Transport
 	limiter   *rate.Limiter
-	places    places
-	dialCost  time.Duration
+	quota     connQuota
+	dialCost  time.Duration // Target.DialCost
 	dials     atomic.Int64
 }
 
-// leaf returns the leaf's connections. The share of one that is known already
-// is only changed by Apply: an exchange may have been planned by an older view.
-func (c *Client) leaf(t Target) *leafConn {
+// transportFor returns the leaf's transport and creates it on first use. Only Apply
+// changes the limit of an existing one: t may come from an older view.
+func (c *Client) transportFor(t Target) *leafTransport {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	lc, ok := c.leaves[t.key()]
+	lt, ok := c.leaves[t.key()]
 	if !ok {
-		lc = newLeafConn(t)
-		lc.places.setLimit(t.Connections)
-		c.leaves[t.key()] = lc
+		lt = newLeafTransport(t)
+		lt.quota.setLimit(t.Connections)
+		c.leaves[t.key()] = lt
 	}
-	return lc
+	return lt
 }
 
-// key tells a leaf from another at the same address, and from its own past.
+// key identifies a leaf at its address. It differs from the key of another leaf at
+// the same address, and of the same leaf at another address.
 func (t Target) key() string { return t.ID + "@" + t.Address }
 
-// newLeafConn makes the transport whose dials are counted, limited and paced.
-func newLeafConn(t Target) *leafConn {
-	lc := &leafConn{limiter: rate.NewLimiter(rate.Inf, 1), dialCost: t.DialCost}
+// newLeafTransport returns a transport that counts its dials, keeps its connections
+// within the quota and starts at most one dial per DialCost.
+func newLeafTransport(t Target) *leafTransport {
+	lt := &leafTransport{limiter: rate.NewLimiter(rate.Inf, 1), dialCost: t.DialCost}
 	if t.DialCost > 0 {
-		lc.limiter = rate.NewLimiter(rate.Every(t.DialCost), 1)
+		lt.limiter = rate.NewLimiter(rate.Every(t.DialCost), 1)
 	}
-	lc.transport = &http.Transport{
-		DialContext:         lc.dial,
-		MaxIdleConnsPerHost: maxIdle,
+	lt.transport = &http.Transport{
+		DialContext:         lt.dial,
+		MaxIdleConnsPerHost: maxIdleConns,
 		IdleConnTimeout:     idleTimeout,
 		DisableCompression:  true,
 	}
-	return lc
+	return lt
 }
 
-// maxIdle is no limit in effect: the places are.
-const maxIdle = 1 << 16
+// maxIdleConns is too large to have an effect: connQuota limits the connections.
+const maxIdleConns = 1 << 16
 
-// dial opens a connection within the share, at the leaf's pace.
-func (lc *leafConn) dial(ctx context.Context, network, address string) (net.Conn, error) {
-	if err := lc.places.acquire(ctx); err != nil {
-		return nil, fmt.Errorf("wait for a connection of the share: %w", err)
+// dial opens a connection within the quota and the dial rate.
+func (lt *leafTransport) dial(ctx context.Context, network, address string) (net.Conn, error) {
+	if err := lt.quota.acquire(ctx); err != nil {
+		return nil, fmt.Errorf("wait for the connection quota: %w", err)
 	}
-	if err := lc.limiter.Wait(ctx); err != nil {
-		lc.places.release()
-		return nil, fmt.Errorf("wait for the pace of dials: %w", err)
+	if err := lt.limiter.Wait(ctx); err != nil {
+		lt.quota.release()
+		return nil, fmt.Errorf("wait for the dial rate limit: %w", err)
 	}
-	lc.dials.Add(1)
+	lt.dials.Add(1)
 	d := net.Dialer{Timeout: dialTimeout}
 	conn, err := d.DialContext(ctx, network, address)
 	if err != nil {
-		lc.places.release()
+		lt.quota.release()
 		return nil, err
 	}
-	counted := &countedConn{Conn: conn, leaf: lc}
-	if err := prove(ctx, counted, address); err != nil {
+	counted := &quotaConn{Conn: conn, leaf: lt}
+	if err := verifyConn(ctx, counted, address); err != nil {
 		_ = counted.Close()
 		return nil, fmt.Errorf("new connection: %w", err)
 	}
 	return counted, nil
 }
 
-// countedConn gives its place back some time after it is closed.
-type countedConn struct {
+// quotaConn is a connection that releases its quota a dialCost after it is closed.
+type quotaConn struct {
 	net.Conn
-	leaf    *leafConn
-	once    sync.Once
-	blocked atomic.Bool // an attempt was recalled: nothing more is written
+	leaf          *leafTransport
+	once          sync.Once
+	writesBlocked atomic.Bool // the attempt was cancelled before it was sent; Write fails
 }
 
-// ErrCancelledBeforeSend says that an attempt was recalled before it was sent.
-var ErrCancelledBeforeSend = errors.New("recalled before it was sent")
+// ErrCancelledBeforeSend is the cause of a *DialError where the beforeSend callback
+// returned false.
+var ErrCancelledBeforeSend = errors.New("attempt was cancelled before it was sent")
 
-// Write writes, unless the attempt that took the connection was recalled.
-func (c *countedConn) Write(b []byte) (int, error) {
-	if c.blocked.Load() {
+// Write implements net.Conn. It fails with ErrCancelledBeforeSend if the attempt that
+// took the connection was cancelled before it was sent.
+func (c *quotaConn) Write(b []byte) (int, error) {
+	if c.writesBlocked.Load() {
 		return 0, ErrCancelledBeforeSend
 	}
 	return c.Conn.Write(b)
 }
 
-// Close closes the connection. The place stays taken for the time of a dial:
-// the leaf counts the connection until it has seen its end, and must not see
-// another before that.
-func (c *countedConn) Close() error {
+// Close closes the connection and releases its quota a dialCost later: the leaf
+// counts the connection until it has seen the close, and a new one that arrives
+// earlier would exceed the leaf's limit.
+func (c *quotaConn) Close() error {
 	err := c.Conn.Close()
-	c.once.Do(func() { time.AfterFunc(c.leaf.dialCost, c.leaf.places.release) })
+	c.once.Do(func() { time.AfterFunc(c.leaf.dialCost, c.leaf.quota.release) })
 	return err
 }
 
-// Stats is the state of one leaf's connections.
+// Stats is the state of one leaf's connections. Used and Limit are numbers of
+// connections; Dials is the number of dials started.
 type Stats struct {
 	Used, Limit int
 	Dials       int64
@@ -123,40 +128,40 @@
 
 // Stats returns the state of a leaf's connections.
 func (c *Client) Stats(t Target) Stats {
-	lc := c.leaf(t)
-	used, limit := lc.places.count()
-	return Stats{Used: used, Limit: limit, Dials: lc.dials.Load()}
+	lt := c.transportFor(t)
+	used, limit := lt.quota.count()
+	return Stats{Used: used, Limit: limit, Dials: lt.dials.Load()}
 }
 
-// Apply puts the shares of a new view into effect and drops the connections of
-// all leaves that it does not name, by ID and address.
+// Apply sets the connection limits of a new view, and closes the idle connections of
+// leaves that are over their limit and of those whose ID and address are not in it.
 func (c *Client) Apply(targets []Target) {
 	named := make(map[string]bool, len(targets))
-	var over []*leafConn
+	var over []*leafTransport
 	for _, t := range targets {
 		named[t.key()] = true
-		if lc := c.leaf(t); lc.places.setLimit(t.Connections) {
-			over = append(over, lc)
+		if lt := c.transportFor(t); lt.quota.setLimit(t.Connections) {
+			over = append(over, lt)
 		}
 	}
-	for _, lc := range append(over, c.dropOthers(named)...) {
-		lc.transport.CloseIdleConnections()
+	for _, lt := range append(over, c.removeUnnamed(named)...) {
+		lt.transport.CloseIdleConnections()
 	}
 }
 
-// dropOthers forgets the leaves that are not named and returns them.
-func (c *Client) dropOthers(named map[string]bool) []*leafConn {
+// removeUnnamed removes the leaves whose keys are not in named and returns them.
+func (c *Client) removeUnnamed(named map[string]bool) []*leafTransport {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var dropped []*leafConn
-	for key, lc := range c.leaves {
+	var dropped []*leafTransport
+	for key, lt := range c.leaves {
 		if !named[key] {
-			dropped = append(dropped, lc)
+			dropped = append(dropped, lt)
 			delete(c.leaves, key)
 		}
 	}
 	return dropped
 }
 
-// Close drops all idle connections.
+// Close removes all leaves and closes their idle connections.
 func (c *Client) Close() { c.Apply(nil) }
--- a/entry/leafclient/errors.go
+++ b/entry/leafclient/errors.go
@@ -12,7 +12,8 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/keyrange"
 )
 
-// DialError says that no connection was had: the request did not run.
+// DialError says that the request was not sent, for lack of a connection or because
+// the attempt was cancelled first: the request did not run.
 type DialError struct {
 	Leaf string
 	Err  error
@@ -21,10 +22,11 @@
 // Error implements error.
 func (e *DialError) Error() string { return fmt.Sprintf("leaf %s: no connection: %v", e.Leaf, e.Err) }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *DialError) Unwrap() error { return e.Err }
 
-// DeclinedError is the leaf's word that it did not run the request.
+// DeclinedError says that the leaf declined the request and did not run it. Ranges
+// are the key ranges that the leaf reports with the decline.
 type DeclinedError struct {
 	Leaf   string
 	Reason leafapi.Decline
@@ -35,40 +37,41 @@
 // Error implements error.
 func (e *DeclinedError) Error() string { return fmt.Sprintf("leaf %s: declined: %s", e.Leaf, e.Reason) }
 
-// Cause is why an exchange that may have run has no whole reply.
+// Cause is why a request that may have run has no complete reply.
 type Cause string
 
 // The causes of a BrokenError.
 const (
 	CauseClosed    Cause = "closed"    // the leaf closed or reset the connection
-	CauseDeadline  Cause = "deadline"  // the time was up
-	CauseCancelled Cause = "cancelled" // the attempt was withdrawn
-	CauseStatus    Cause = "status"    // an answer that is neither a reply nor a decline
-	CauseMalformed Cause = "malformed" // a reply that breaks the protocol
-	// CauseLost is a connection that ended where that says nothing of the
-	// request: leaves also reset connections that are over their limit.
+	CauseDeadline  Cause = "deadline"  // the deadline passed
+	CauseCancelled Cause = "cancelled" // the attempt's context was cancelled
+	CauseStatus    Cause = "status"    // the response's status is neither that of a reply nor of a decline
+	CauseMalformed Cause = "malformed" // the response violates the protocol
+	// CauseLost is a closed connection of a leaf that also resets connections for
+	// other reasons, such as its connection limit: by itself it is no sign that the
+	// request crashed the leaf.
 	CauseLost Cause = "lost"
 )
 
-// BrokenError says that the request may have run and has no whole reply.
+// BrokenError says that the request may have run and has no complete reply.
 type BrokenError struct {
 	Leaf  string
 	Cause Cause
 	Err   error
-	// Failure is the failure as the leaf stated it, for the caller; nil when
-	// the leaf stated none.
+	// Failure is the leaf's own error response, to be returned to the caller; nil if
+	// the leaf sent none.
 	Failure any
 }
 
 // Error implements error.
 func (e *BrokenError) Error() string {
-	return fmt.Sprintf("leaf %s: broken (%s): %v", e.Leaf, e.Cause, e.Err)
+	return fmt.Sprintf("leaf %s: no complete reply (%s): %v", e.Leaf, e.Cause, e.Err)
 }
 
-// Unwrap gives the cause below.
+// Unwrap returns the underlying error.
 func (e *BrokenError) Unwrap() error { return e.Err }
 
-// newBrokenError classifies a transport error.
+// newBrokenError returns a BrokenError with the cause of a transport error.
 func newBrokenError(ctx context.Context, leaf string, err error) *BrokenError {
 	cause := CauseClosed
 	var timeout net.Error
--- a/entry/leafclient/exchanger.go
+++ b/entry/leafclient/exchanger.go
@@ -10,60 +10,61 @@
 	"time"
 )
 
-// Exchanger carries whole HTTP/1.1 exchanges over connections of its own, for
-// leaf protocols whose rules http.Transport does not keep: it never sends a
-// request twice by itself, never takes an unasked response for the next answer,
-// and uses a connection again only after a whole exchange. One exchange costs
-// one write and, usually, one read, in the caller's goroutine. It is safe for
-// concurrent use.
+// Exchanger runs HTTP/1.1 exchanges over connections of its own, for leaf
+// protocols that need guarantees which http.Transport does not give: it never
+// resends a request by itself, never takes an unsolicited response for the next
+// reply, and reuses a connection only after a complete exchange. A small exchange
+// costs one write and, usually, one read, in the caller's goroutine. It is safe
+// for concurrent use.
 type Exchanger struct {
 	maxBody int64
 	mu      sync.Mutex
-	leaves  map[string]*sockets // by Target.key
+	leaves  map[string]*socketPool // by Target.key
 }
 
 // ExchangeRequest is one request of an Exchanger.
 type ExchangeRequest struct {
 	Method string
-	// AppendHead writes the request line and the headers with the empty line that ends
-	// them; left is the time until the deadline.
+	// AppendHead appends the request line and the headers, with the empty line that
+	// ends them, to buf; left is the time until the deadline.
 	AppendHead func(buf []byte, left time.Duration) []byte
 	Body       []byte
-	// Matches reports whether a response belongs to this request. One that does not
-	// ends the connection.
+	// Matches reports whether a response with header h belongs to this request. If
+	// not, the connection is closed.
 	Matches func(h http.Header) bool
 }
 
-// ExchangeResponse is a whole response.
+// ExchangeResponse is a complete response.
 type ExchangeResponse struct {
 	Status int
 	Header http.Header
 	Body   []byte
-	// Closing says that the leaf will not keep the connection.
+	// Closing says that the leaf closes the connection after this response.
 	Closing bool
 }
 
-// NewExchanger makes an exchanger that takes bodies of at most maxBody bytes.
+// NewExchanger returns an Exchanger that accepts response bodies of at most maxBody
+// bytes.
 func NewExchanger(maxBody int64) *Exchanger {
-	return &Exchanger{maxBody: maxBody, leaves: make(map[string]*sockets)}
+	return &Exchanger{maxBody: maxBody, leaves: make(map[string]*socketPool)}
 }
 
-// errForeign says that a response belongs to another request.
-var errForeign = errors.New("the response belongs to another request")
+// errWrongRequest says that a response belongs to another request.
+var errWrongRequest = errors.New("the response belongs to another request")
 
-// errTooLong says that a body is longer than any leaf should send.
-var errTooLong = errors.New("response body over the limit")
+// errBodyTooLong says that a response body is longer than Exchanger.maxBody.
+var errBodyTooLong = errors.New("response body over the limit")
 
-// Do carries one exchange. The sent callback is called once, before any byte
-// can have reached the leaf; if it returns false, none will, and the exchange
-// ends with a *DialError. The error, if any, is a *DialError or *BrokenError.
-func (x *Exchanger) Do(ctx context.Context, t Target, out *ExchangeRequest, sent func() bool) (*ExchangeResponse, error) {
-	s := x.leaf(t)
+// Do runs one exchange. It calls beforeSend at most once, when it has a connection
+// and has sent nothing; if beforeSend returns false, Do sends nothing and returns a
+// *DialError. The error, if any, is a *DialError or *BrokenError.
+func (x *Exchanger) Do(ctx context.Context, t Target, out *ExchangeRequest, beforeSend func() bool) (*ExchangeResponse, error) {
+	s := x.poolFor(t)
 	c, err := s.get(ctx)
 	if err != nil {
 		return nil, &DialError{Leaf: t.ID, Err: err}
 	}
-	if !sent() {
+	if !beforeSend() {
 		s.put(c)
 		return nil, &DialError{Leaf: t.ID, Err: ErrCancelledBeforeSend}
 	}
@@ -80,8 +81,8 @@
 	return in, nil
 }
 
-// exchange sends the request and reads the whole response. It reports whether
-// the connection may carry another exchange.
+// exchange sends the request and reads the complete response. It reports in keep
+// whether the connection may be reused.
 func (x *Exchanger) exchange(ctx context.Context, c *socket, out *ExchangeRequest) (in *ExchangeResponse, keep bool, err error) {
 	deadline, ok := ctx.Deadline()
 	if !ok {
@@ -93,38 +94,38 @@
 	stop := context.AfterFunc(ctx, c.abort)
 	defer func() {
 		if !stop() {
-			keep = false // the deadline of the connection was moved
+			keep = false // abort has set the connection's deadline to the past
 		}
 	}()
 	written, err := c.send(out, time.Until(deadline))
 	if err != nil {
 		return nil, false, err
 	}
-	resp, err := c.response(out.Method)
+	resp, err := c.readResponse(out.Method)
 	if err != nil {
 		return nil, false, err
 	}
 	defer resp.Body.Close()
 	if !out.Matches(resp.Header) {
-		return nil, false, errForeign
+		return nil, false, errWrongRequest
 	}
-	body, err := x.body(resp)
+	body, err := x.readBody(resp)
 	if err != nil {
 		return nil, false, err
 	}
 	keep = !resp.Close && c.reader.Buffered() == 0 && written() && c.conn.SetDeadline(time.Time{}) == nil
-	c.noteTimeout(resp.Header.Get("Keep-Alive"))
+	c.setMaxIdle(resp.Header.Get("Keep-Alive"))
 	return &ExchangeResponse{Status: resp.StatusCode, Header: resp.Header, Body: body, Closing: resp.Close}, keep, nil
 }
 
-// body reads a whole body. One without a length ends with its connection; a
-// reset is an error there.
-func (x *Exchanger) body(resp *http.Response) ([]byte, error) {
+// readBody reads the complete body. A body without a length ends when the leaf closes
+// the connection; a connection reset is an error.
+func (x *Exchanger) readBody(resp *http.Response) ([]byte, error) {
 	if resp.Body == http.NoBody {
-		return nil, nil // also where a length is stated, as to a HEAD request
+		return nil, nil // a response to a HEAD request has a Content-Length and no body
 	}
 	if resp.ContentLength > x.maxBody {
-		return nil, errTooLong
+		return nil, errBodyTooLong
 	}
 	if resp.ContentLength > 0 {
 		body := make([]byte, resp.ContentLength)
@@ -133,33 +134,33 @@
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, x.maxBody+1))
 	if err == nil && int64(len(body)) > x.maxBody {
-		err = errTooLong
+		err = errBodyTooLong
 	}
 	return body, err
 }
 
-// leaf returns the connections to a leaf.
-func (x *Exchanger) leaf(t Target) *sockets {
+// poolFor returns the leaf's connection pool and creates it on first use.
+func (x *Exchanger) poolFor(t Target) *socketPool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	s, ok := x.leaves[t.key()]
 	if !ok {
-		s = newSockets(t)
+		s = newSocketPool(t)
 		x.leaves[t.key()] = s
 	}
 	return s
 }
 
-// Apply puts the shares of a new view into effect and drops the connections of
-// all leaves that it does not name, by ID and address.
+// Apply sets the connection limits of a new view, and closes the idle connections of
+// leaves that are over their limit and of those whose ID and address are not in it.
 func (x *Exchanger) Apply(targets []Target) {
 	named := make(map[string]bool, len(targets))
 	for _, t := range targets {
 		named[t.key()] = true
-		x.leaf(t).setShare(t)
+		x.poolFor(t).updateLimits(t)
 	}
 	x.mu.Lock()
-	var dropped []*sockets
+	var dropped []*socketPool
 	for key, s := range x.leaves {
 		if !named[key] {
 			dropped = append(dropped, s)
@@ -172,36 +173,37 @@
 	}
 }
 
-// Close drops all idle connections.
+// Close removes all leaves and closes their idle connections.
 func (x *Exchanger) Close() { x.Apply(nil) }
 
-// Opened is the number of connections opened and held now, over all leaves.
+// Opened returns the number of dials started and of connections that count against a
+// quota, summed over the current leaves.
 func (x *Exchanger) Opened() (dials int64, open int) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for _, s := range x.leaves {
-		used, _ := s.places.count()
+		used, _ := s.quota.count()
 		dials += s.dials.Load()
 		open += used
 	}
 	return dials, open
 }
 
-// statusContinue is the first status that ends an exchange; those below are interim.
-const statusContinue = 200
+// minFinalStatus is the lowest final HTTP status; lower ones are interim.
+const minFinalStatus = 200
 
-// response reads the response, interim ones left out.
-func (c *socket) response(method string) (*http.Response, error) {
+// readResponse reads the final response and skips interim ones.
+func (c *socket) readResponse(method string) (*http.Response, error) {
 	for {
 		resp, err := http.ReadResponse(c.reader, &http.Request{Method: method})
 		if err != nil {
 			return nil, fmt.Errorf("read response: %w", err)
 		}
-		if resp.StatusCode >= statusContinue {
+		if resp.StatusCode >= minFinalStatus {
 			return resp, nil
 		}
 		if resp.StatusCode == http.StatusSwitchingProtocols {
-			return nil, errors.New("the leaf switched protocols unasked")
+			return nil, errors.New("unsolicited response 101 Switching Protocols")
 		}
 	}
 }
--- a/entry/leafclient/fuzz_test.go
+++ b/entry/leafclient/fuzz_test.go
@@ -17,23 +17,24 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/keyrange"
 )
 
-// fuzzMaxBody bounds a reply body in the fuzz targets, in bytes.
+// fuzzMaxBody is the most bytes of a reply body in the fuzz targets.
 const fuzzMaxBody = 64
 
-// fuzzAttempt is the attempt that the fuzzed replies are read for.
+// fuzzAttempt is the ID of the attempt that the fuzzed responses answer.
 const fuzzAttempt = "a1"
 
-// read reads a response as the reply to the fuzzed attempt.
-func read(t *testing.T, resp *http.Response) (*Reply, error) {
+// readFuzzedReply reads a response as the reply to the fuzzed attempt.
+func readFuzzedReply(t *testing.T, resp *http.Response) (*Reply, error) {
 	c := New(fuzzMaxBody)
 	defer c.Close()
 	r := &Request{ID: "q", Attempt: fuzzAttempt, Range: keyrange.Range{From: 0, To: 10}}
 	return c.readReply(t.Context(), Target{ID: "leaf-1"}, r, resp)
 }
 
-// checkVerdict checks what may be claimed of a response: a reply states this
-// attempt and a body that matches, a decline was stated, all else is broken.
-func checkVerdict(t *testing.T, h http.Header, status int, reply *Reply, err error) {
+// checkOutcome checks the result of reading a response: a Reply has this attempt's ID
+// and a body that matches its checksum, a DeclinedError has the decline header, and
+// every other error is a BrokenError.
+func checkOutcome(t *testing.T, h http.Header, status int, reply *Reply, err error) {
 	t.Helper()
 	var declined *DeclinedError
 	var broken *BrokenError
@@ -42,10 +43,10 @@
 		checkReply(t, h, status, reply)
 	case errors.As(err, &declined):
 		if h.Get(leafapi.HeaderNotRun) == "" || status < http.StatusBadRequest {
-			t.Fatalf("status %d without a stated decline was taken for not run: %v", status, err)
+			t.Fatalf("status %d without a decline header was taken for not run: %v", status, err)
 		}
 	case !errors.As(err, &broken):
-		t.Fatalf("%v is neither a decline nor broken", err)
+		t.Fatalf("%v is neither a DeclinedError nor a BrokenError", err)
 	}
 }
 
@@ -71,7 +72,7 @@
 	}
 }
 
-// FuzzReadReply reads any bytes on the wire as a leaf's response.
+// FuzzReadReply reads arbitrary bytes as a leaf's HTTP response.
 func FuzzReadReply(f *testing.F) {
 	sum := fmt.Sprintf("%016x", xxhash.Sum64String("result"))
 	whole := "HTTP/1.1 200 OK\r\nFuchsiaroad-Attempt: a1\r\nFuchsiaroad-Version: 7\r\nFuchsiaroad-Versions: 6,7\r\n" +
@@ -87,13 +88,13 @@
 			return
 		}
 		defer func() { _ = resp.Body.Close() }()
-		reply, err := read(t, resp)
-		checkVerdict(t, resp.Header, resp.StatusCode, reply, err)
+		reply, err := readFuzzedReply(t, resp)
+		checkOutcome(t, resp.Header, resp.StatusCode, reply, err)
 	})
 }
 
-// FuzzReplyStatements varies each statement of a response by itself, so that
-// most inputs get past the transport.
+// FuzzReplyStatements varies each header of a response on its own, so that most inputs
+// get past the HTTP parser.
 func FuzzReplyStatements(f *testing.F) {
 	f.Add(200, fuzzAttempt, "7", "6,7", "0-10", "", "", "1500", []byte("result"))
 	f.Add(200, "a2", "7", "", "0-10", "", "", "", []byte("result"))
@@ -113,7 +114,7 @@
 			h.Set(key, strings.TrimSpace(value))
 		}
 		resp := &http.Response{StatusCode: status, Header: h, Body: io.NopCloser(bytes.NewReader(body))}
-		reply, err := read(t, resp)
-		checkVerdict(t, h, status, reply, err)
+		reply, err := readFuzzedReply(t, resp)
+		checkOutcome(t, h, status, reply, err)
 	})
 }
--- a/entry/leafclient/health.go
+++ b/entry/leafclient/health.go
@@ -11,17 +11,18 @@
 	"github.com/fuchsiaroad/fuchsiaroad/api/leafapi"
 )
 
-// maxHealthBody bounds a health answer, in bytes.
+// maxHealthBody is the most bytes read of a health response's body.
 const maxHealthBody = 64 << 10
 
-// Health asks a leaf for its health, which is a hint: it may lag or mislead.
+// Health requests a leaf's health report, which is a hint: it may be outdated or
+// wrong.
 func (c *Client) Health(ctx context.Context, t Target) (*leafapi.Health, error) {
-	lc := c.leaf(t)
+	lt := c.transportFor(t)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+t.Address+leafapi.PathHealth, nil)
 	if err != nil {
 		return nil, fmt.Errorf("leaf %s: health: %w", t.ID, err)
 	}
-	resp, err := lc.transport.RoundTrip(req)
+	resp, err := lt.transport.RoundTrip(req)
 	if err != nil {
 		return nil, fmt.Errorf("leaf %s: health: %w", t.ID, err)
 	}
@@ -40,12 +41,13 @@
 	return &h, nil
 }
 
-// Warm opens connections ahead of traffic until n are open, by concurrent
-// health questions, and returns the last good answer. Dials are paced as ever.
+// Warm opens up to n connections ahead of traffic, by n concurrent health requests
+// (at least one), and returns the last successful response. The dial rate limit
+// applies.
 func (c *Client) Warm(ctx context.Context, t Target, n int) (*leafapi.Health, error) {
 	var mu sync.Mutex
-	var best *leafapi.Health
-	var last error
+	var latest *leafapi.Health
+	var lastErr error
 	var wg sync.WaitGroup
 	for range max(n, 1) {
 		wg.Go(func() {
@@ -53,15 +55,15 @@
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
-				last = err
+				lastErr = err
 				return
 			}
-			best = h
+			latest = h
 		})
 	}
 	wg.Wait()
-	if best == nil {
-		return nil, last
+	if latest == nil {
+		return nil, lastErr
 	}
-	return best, nil
+	return latest, nil
 }
--- a/entry/leafclient/leafclient.go
+++ b/entry/leafclient/leafclient.go
@@ -1,8 +1,7 @@
-// Package leafclient carries sub-requests to leaves by the leaf protocol. It
-// holds the connections: how many, opened how fast, kept warm. What it reports
-// of an exchange decides what may be claimed of it: a request that got no
-// connection provably did not run, one that was declined neither, any other
-// that has no whole reply may have run.
+// Package leafclient sends sub-requests to leaves by the leaf protocol and manages
+// the connections to them: how many there are, how fast they are opened, and which
+// are opened ahead of traffic. Its errors say whether a request can have run: after
+// a DialError or a DeclinedError it did not, after a BrokenError it may have.
 package leafclient
 
 import (
@@ -23,22 +22,24 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/keyrange"
 )
 
-// Target is where and how a leaf is reached.
+// Target is a leaf with its address and connection limits.
 type Target struct {
 	ID string
-	// Name is what the leaf calls itself; empty: its ID.
+	// Name is the leaf's own name for itself; if empty, that is its ID.
 	Name    string
 	Address string // IP:port
 	// Connections is the most connections this entry may hold to the leaf.
 	Connections int
-	// Transient says that this entry's share is less than one connection: one may be
-	// opened for an exchange and is closed after it, so that others get their turn.
+	// Transient says that this entry's share of the leaf's connection limit is less
+	// than one connection: a connection is opened for one exchange and closed after it,
+	// so that other entries can connect.
 	Transient bool
-	// DialCost is the usual time of a new connection; at most one dial starts per DialCost.
+	// DialCost is the usual time that a dial takes; at most one dial starts per
+	// DialCost. 0 sets no rate limit.
 	DialCost time.Duration
 }
 
-// NameOrID is what the leaf calls itself.
+// NameOrID returns Name, or ID if there is none.
 func (t Target) NameOrID() string {
 	if t.Name != "" {
 		return t.Name
@@ -49,63 +50,67 @@
 // Request is one attempt at one leaf.
 type Request struct {
 	ID      string // the query's id
-	Attempt string // unguessable
-	Version uint64 // wanted index version, 0 for any
+	Attempt string // the attempt's ID, unguessable
+	Version uint64 // required index version; 0: any
 	Range   keyrange.Range
 	Body    []byte
-	// Forwarded is the caller's request where it is handed on as it came; nil for
-	// the own protocol, which sends Body.
+	// Forwarded is the caller's HTTP request where it is forwarded unchanged; nil in
+	// the leaf protocol, which sends Body.
 	Forwarded *ForwardedRequest
 }
 
-// LeafStatus is what a leaf says of itself, with each reply or when it is asked.
+// LeafStatus is the state that a leaf reports with each reply, decline and health
+// response.
 type LeafStatus struct {
-	Versions []uint64 // of the index that it serves now
+	Versions []uint64 // index versions that the leaf serves
 	Draining bool
-	// StartMillis is the leaf's start by its own clock, in Unix milliseconds; 0: not reported.
+	// StartMillis is the leaf's start time by its own clock, in Unix milliseconds; 0: not
+	// reported.
 	StartMillis int64
 }
 
-// Reply is a whole and checked reply.
+// Reply is a complete reply whose headers and checksum are valid.
 type Reply struct {
 	Version uint64
 	Ranges  []keyrange.Range
 	Body    []byte
 	LeafStatus
-	// Service is how long the leaf says that the request held a slot; 0 if it did not say.
+	// Service is the time that the request held a slot, as the leaf reports it; 0: not
+	// reported.
 	Service time.Duration
-	// Attachment is what the protocol's implementation hands on with the answer,
-	// for whoever writes it to the caller; nil in the own protocol.
+	// Attachment is protocol-specific data that goes with the answer to the code that
+	// writes it to the caller; nil in the leaf protocol.
 	Attachment any
 }
 
-// Client reaches leaves. It is safe for concurrent use.
+// Client sends requests to leaves by the leaf protocol. It is safe for concurrent
+// use.
 type Client struct {
 	maxBody int64
 	mu      sync.Mutex
-	leaves  map[string]*leafConn // by leaf ID
+	leaves  map[string]*leafTransport // by Target.key
 }
 
-// New makes a client that takes replies of at most maxBody bytes.
+// New returns a Client that accepts reply bodies of at most maxBody bytes.
 func New(maxBody int64) *Client {
-	return &Client{maxBody: maxBody, leaves: make(map[string]*leafConn)}
+	return &Client{maxBody: maxBody, leaves: make(map[string]*leafTransport)}
 }
 
-// Run carries one attempt. The sent callback is called once, before any byte
-// can have reached the leaf; if it returns false, none will, and the attempt
-// ends with a *DialError. The error, if any, is a *DialError, *DeclinedError or
-// *BrokenError.
-func (c *Client) Run(ctx context.Context, t Target, r *Request, sent func() bool) (*Reply, error) {
-	lc := c.leaf(t)
-	gate := &sendGate{sent: sent}
+// Run sends one attempt and reads the reply. It calls beforeSend at most once, when
+// it has a connection and has sent nothing; if beforeSend returns false, Run sends
+// nothing and returns a *DialError. The error, if any, is a *DialError,
+// *DeclinedError or *BrokenError.
+func (c *Client) Run(ctx context.Context, t Target, r *Request, beforeSend func() bool) (*Reply, error) {
+	lt := c.transportFor(t)
+	gate := &sendGate{beforeSend: beforeSend}
 	trace := &httptrace.ClientTrace{GotConn: gate.gotConn}
 	req, err := newRequest(httptrace.WithClientTrace(ctx, trace), t, r)
 	if err != nil {
 		return nil, &DialError{Leaf: t.ID, Err: err}
 	}
-	resp, err := lc.transport.RoundTrip(req)
+	resp, err := lt.transport.RoundTrip(req)
 	if err != nil {
-		if !gate.passed() {
+		if !gate.isAllowed() {
 			return nil, &DialError{Leaf: t.ID, Err: err}
 		}
 		return nil, newBrokenError(ctx, t.ID, err)
@@ -114,42 +119,43 @@
 	return c.readReply(ctx, t, r, resp)
 }
 
-// sendGate asks for leave to send when a connection is there.
+// sendGate calls beforeSend when the first connection is ready, and blocks writing if
+// it returns false.
 type sendGate struct {
-	sent  func() bool
-	mu    sync.Mutex
-	asked bool
-	leave bool
+	beforeSend func() bool
+	mu         sync.Mutex
+	asked      bool
+	allowed    bool
 }
 
-// gotConn is called when a connection is there and nothing is written yet. The
-// transport calls it again when it takes another connection because nothing
-// could be written to the first.
+// gotConn implements httptrace.ClientTrace.GotConn: the transport calls it before it
+// writes to a connection, and again when it takes another connection because
+// nothing could be written to the first.
 func (g *sendGate) gotConn(info httptrace.GotConnInfo) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !g.asked {
 		g.asked = true
-		g.leave = g.sent()
+		g.allowed = g.beforeSend()
 	}
-	if g.leave {
+	if g.allowed {
 		return
 	}
-	if conn, ok := info.Conn.(*countedConn); ok {
-		conn.blocked.Store(true)
+	if conn, ok := info.Conn.(*quotaConn); ok {
+		conn.writesBlocked.Store(true)
 	}
 }
 
-// passed reports whether leave to send was given.
-func (g *sendGate) passed() bool {
+// isAllowed reports whether beforeSend returned true.
+func (g *sendGate) isAllowed() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.leave
+	return g.allowed
 }
 
-// newRequest writes the protocol's headers. It sets no header by which
-// net/http would take the request for replayable: the transport must not send
-// it a second time by itself.
+// newRequest returns the HTTP request of an attempt. It sets no header that makes
+// net/http treat the request as replayable, such as Idempotency-Key: the transport
+// must not resend it by itself.
 func newRequest(ctx context.Context, t Target, r *Request) (*http.Request, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+t.Address+leafapi.PathRun, bytes.NewReader(r.Body))
 	if err != nil {
@@ -166,18 +172,19 @@
 	return req, nil
 }
 
-// readReply checks everything that a reply states before it is one.
+// readReply reads a response and checks it in full: status, versions, ranges, attempt
+// and checksum. The error is a *DeclinedError or *BrokenError.
 func (c *Client) readReply(ctx context.Context, t Target, r *Request, resp *http.Response) (*Reply, error) {
 	versions, err := leafapi.ParseVersions(resp.Header.Get(leafapi.HeaderVersions))
 	if err != nil {
 		return nil, &BrokenError{Leaf: t.ID, Cause: CauseMalformed, Err: err}
 	}
-	said := LeafStatus{
+	status := LeafStatus{
 		Versions: versions, Draining: resp.Header.Get(leafapi.HeaderDraining) == "1",
 		StartMillis: leafapi.ParseBorn(resp.Header.Get(leafapi.HeaderBorn)),
 	}
 	if decline := resp.Header.Get(leafapi.HeaderNotRun); decline != "" && resp.StatusCode >= http.StatusBadRequest {
-		return nil, declined(t, resp, leafapi.Decline(decline), said)
+		return nil, readDecline(t, resp, leafapi.Decline(decline), status)
 	}
 	if resp.StatusCode != http.StatusOK {
 		return nil, &BrokenError{Leaf: t.ID, Cause: CauseStatus, Err: fmt.Errorf("status %d", resp.StatusCode)}
@@ -189,24 +196,26 @@
 	if int64(len(body)) > c.maxBody {
 		return nil, &BrokenError{Leaf: t.ID, Cause: CauseMalformed, Err: errors.New("reply body over the limit")}
 	}
-	reply := &Reply{Body: body, LeafStatus: said}
+	reply := &Reply{Body: body, LeafStatus: status}
 	if err := reply.parseHeaders(r, resp.Header); err != nil {
 		return nil, &BrokenError{Leaf: t.ID, Cause: CauseMalformed, Err: err}
 	}
 	return reply, nil
 }
 
-// declined reads the refusal of a leaf and leaves the connection reusable.
-func declined(t Target, resp *http.Response, reason leafapi.Decline, said LeafStatus) error {
+// readDecline returns the *DeclinedError of a response, and drains the body so that
+// the connection can be reused.
+func readDecline(t Target, resp *http.Response, reason leafapi.Decline, status LeafStatus) error {
 	ranges, err := keyrange.ParseList(resp.Header.Get(leafapi.HeaderRanges))
 	if err != nil {
-		ranges = nil // the ranges of a decline are a hint only
+		ranges = nil // a decline's ranges are only a hint
 	}
 	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, 1<<12))
-	return &DeclinedError{Leaf: t.ID, Reason: reason, Ranges: ranges, LeafStatus: said}
+	return &DeclinedError{Leaf: t.ID, Reason: reason, Ranges: ranges, LeafStatus: status}
 }
 
-// parseHeaders fills the reply from its headers and compares attempt and checksum.
+// parseHeaders fills the reply from the headers h. It fails if the attempt or the
+// checksum differs.
 func (p *Reply) parseHeaders(r *Request, h http.Header) error {
 	if got := h.Get(leafapi.HeaderAttempt); got != r.Attempt {
 		return errors.New("reply is for another attempt")
--- a/entry/leafclient/leafclient_test.go
+++ b/entry/leafclient/leafclient_test.go
@@ -21,10 +21,10 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// handler is a leaf that answers as told.
+// handler is a fake leaf's reaction to a request.
 type handler func(w http.ResponseWriter, r *http.Request)
 
-// withHealth answers health questions and leaves the rest to the handler.
+// withHealth answers health requests and passes all others to h.
 func withHealth(h handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == leafapi.PathHealth {
@@ -35,8 +35,9 @@
 	})
 }
 
-// good writes a whole reply; change may spoil it first.
-func good(change func(h http.Header)) handler {
+// replyHandler returns a handler that writes a valid reply, after change has edited
+// its headers.
+func replyHandler(change func(h http.Header)) handler {
 	return func(w http.ResponseWriter, r *http.Request) {
 		body := "result"
 		h := w.Header()
@@ -50,8 +51,8 @@
 	}
 }
 
-// exchange runs one attempt against the handler and reports whether it was sent.
-func exchange(t *testing.T, h handler) (*Reply, bool, error) {
+// runAttempt runs one attempt against the handler and reports whether it was sent.
+func runAttempt(t *testing.T, h handler) (*Reply, bool, error) {
 	t.Helper()
 	srv := httptest.NewServer(withHealth(h))
 	defer srv.Close()
@@ -65,12 +66,12 @@
 	return reply, sent, err
 }
 
-// TestReplyIsChecked spoils each statement of a reply in turn.
-func TestReplyIsChecked(t *testing.T) {
-	if reply, sent, err := exchange(t, good(func(http.Header) {})); err != nil || !sent || reply.Version != 7 {
-		t.Fatalf("a good reply: %+v, sent %v, error %v", reply, sent, err)
+// TestCorruptReplyIsBrokenError corrupts each header of a reply in turn.
+func TestCorruptReplyIsBrokenError(t *testing.T) {
+	if reply, sent, err := runAttempt(t, replyHandler(func(http.Header) {})); err != nil || !sent || reply.Version != 7 {
+		t.Fatalf("a valid reply: %+v, sent %v, error %v", reply, sent, err)
 	}
-	spoils := map[string]func(http.Header){
+	corruptions := map[string]func(http.Header){
 		"crossed attempt":  func(h http.Header) { h.Set(leafapi.HeaderAttempt, "a2") },
 		"no attempt":       func(h http.Header) { h.Del(leafapi.HeaderAttempt) },
 		"no version":       func(h http.Header) { h.Del(leafapi.HeaderVersion) },
@@ -81,8 +82,8 @@
 		"no checksum":      func(h http.Header) { h.Del(leafapi.HeaderChecksum) },
 		"overflown ranges": func(h http.Header) { h.Set(leafapi.HeaderRanges, "0-99999999999999999999") },
 	}
-	for name, spoil := range spoils {
-		_, sent, err := exchange(t, good(spoil))
+	for name, corrupt := range corruptions {
+		_, sent, err := runAttempt(t, replyHandler(corrupt))
 		var broken *BrokenError
 		if !errors.As(err, &broken) || !sent {
 			t.Errorf("%s: sent %v, error %v, want a BrokenError after it was sent", name, sent, err)
@@ -90,9 +91,10 @@
 	}
 }
 
-// TestDeclineIsNotRun checks that only the leaf's own word counts as not run.
-func TestDeclineIsNotRun(t *testing.T) {
-	_, _, err := exchange(t, func(w http.ResponseWriter, _ *http.Request) {
+// TestOnlyDeclineHeaderCountsAsNotRun checks that a response without the decline
+// header, such as a bare 503, does not count as not run.
+func TestOnlyDeclineHeaderCountsAsNotRun(t *testing.T) {
+	_, _, err := runAttempt(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(leafapi.HeaderNotRun, string(leafapi.DeclineWrongVersion))
 		w.Header().Set(leafapi.HeaderVersions, "8")
 		w.WriteHeader(http.StatusConflict)
@@ -101,18 +103,18 @@
 	if !errors.As(err, &declined) || declined.Reason != leafapi.DeclineWrongVersion || len(declined.Versions) != 1 {
 		t.Fatalf("error %v, want a DeclinedError with the versions served", err)
 	}
-	_, _, err = exchange(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) })
+	_, _, err = runAttempt(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) })
 	var broken *BrokenError
 	if !errors.As(err, &broken) || broken.Cause != CauseStatus {
-		t.Fatalf("error %v, want a BrokenError: a bare 503 proves nothing", err)
+		t.Fatalf("error %v, want a BrokenError: a bare 503 does not say that it was not run", err)
 	}
 }
 
-// TestClosedAfterSentMayHaveRun checks a connection that the leaf closes with
-// the request on it, and one that is never made.
-func TestClosedAfterSentMayHaveRun(t *testing.T) {
+// TestConnectionClosedAfterSendIsBrokenError checks that a connection which the leaf
+// closes during a request gives a BrokenError, and one that can't be opened a DialError.
+func TestConnectionClosedAfterSendIsBrokenError(t *testing.T) {
 	var calls atomic.Int64
-	_, sent, err := exchange(t, func(http.ResponseWriter, *http.Request) {
+	_, sent, err := runAttempt(t, func(http.ResponseWriter, *http.Request) {
 		calls.Add(1)
 		panic(http.ErrAbortHandler)
 	})
@@ -133,13 +135,13 @@
 	}
 }
 
-// TestStaleConnectionIsNotReplayed closes an idle connection under a second
-// request that net/http might repeat by itself.
-func TestStaleConnectionIsNotReplayed(t *testing.T) {
+// TestRequestIsNotReplayedAfterClose closes a reused connection during the second
+// request, which net/http may resend by itself if it takes it for replayable.
+func TestRequestIsNotReplayedAfterClose(t *testing.T) {
 	var calls atomic.Int64
 	srv := httptest.NewServer(withHealth(func(w http.ResponseWriter, r *http.Request) {
 		if calls.Add(1) == 1 {
-			good(func(http.Header) {})(w, r)
+			replyHandler(func(http.Header) {})(w, r)
 			return
 		}
 		panic(http.ErrAbortHandler)
@@ -156,59 +158,59 @@
 	}
 }
 
-// TestPlacesBoundConnections checks that the share bounds connections and that
-// a waiter gets the place that is given back.
-func TestPlacesBoundConnections(t *testing.T) {
-	var p places
-	p.setLimit(1)
-	if err := p.acquire(context.Background()); err != nil {
+// TestQuotaBoundsConnections checks that the limit holds and that a waiter gets the
+// quota that is released.
+func TestQuotaBoundsConnections(t *testing.T) {
+	var q connQuota
+	q.setLimit(1)
+	if err := q.acquire(context.Background()); err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	if err := p.acquire(ctx); err == nil {
-		t.Fatal("a second place was given out of one")
+	if err := q.acquire(ctx); err == nil {
+		t.Fatal("a second connection was allowed with a limit of one")
 	}
 	got := make(chan error, 1)
-	go func() { got <- p.acquire(context.Background()) }()
+	go func() { got <- q.acquire(context.Background()) }()
 	for {
-		p.mu.Lock()
-		n := len(p.waiters)
-		p.mu.Unlock()
+		q.mu.Lock()
+		n := len(q.waiters)
+		q.mu.Unlock()
 		if n == 1 {
 			break
 		}
 		time.Sleep(time.Millisecond)
 	}
-	p.release()
+	q.release()
 	if err := <-got; err != nil {
 		t.Fatal(err)
 	}
-	if used, _ := p.count(); used != 1 {
-		t.Fatalf("%d places used, want 1", used)
+	if used, _ := q.count(); used != 1 {
+		t.Fatalf("%d connections in use, want 1", used)
 	}
-	if over := p.setLimit(0); !over {
-		t.Fatal("a share that shrank below its use is not reported")
+	if over := q.setLimit(0); !over {
+		t.Fatal("setLimit does not report a limit below the connections in use")
 	}
 }
 
-// TestRecalledIsNotSent takes leave to send away once a connection is there: on
-// a new connection and on a kept one, the leaf must see nothing.
-func TestRecalledIsNotSent(t *testing.T) {
+// TestCancelledAttemptIsNotSent cancels an attempt when it has a connection: on a new
+// connection as on a reused one, the leaf must see nothing.
+func TestCancelledAttemptIsNotSent(t *testing.T) {
 	var calls atomic.Int64
 	srv := httptest.NewServer(withHealth(func(w http.ResponseWriter, r *http.Request) {
 		calls.Add(1)
-		good(func(http.Header) {})(w, r)
+		replyHandler(func(http.Header) {})(w, r)
 	}))
 	defer srv.Close()
 	c := New(1 << 16)
 	defer c.Close()
 	target := Target{ID: "leaf-1", Address: strings.TrimPrefix(srv.URL, "http://"), Connections: 2}
-	for i, leave := range []bool{false, true, false, true} {
-		_, err := c.Run(context.Background(), target, &Request{Attempt: "a", Body: []byte("x"), Range: keyrange.Range{From: 0, To: 1}}, func() bool { return leave })
+	for i, allowed := range []bool{false, true, false, true} {
+		_, err := c.Run(context.Background(), target, &Request{Attempt: "a", Body: []byte("x"), Range: keyrange.Range{From: 0, To: 1}}, func() bool { return allowed })
 		var dial *DialError
-		if leave != (err == nil) || (!leave && !errors.As(err, &dial)) {
-			t.Errorf("attempt %d with leave %v: %v", i, leave, err)
+		if allowed != (err == nil) || (!allowed && !errors.As(err, &dial)) {
+			t.Errorf("attempt %d with beforeSend returning %v: %v", i, allowed, err)
 		}
 	}
 	if calls.Load() != 2 {
@@ -216,9 +218,9 @@
 	}
 }
 
-// TestRefusedConnectionIsNotSent closes each new connection at once, as a leaf
-// over its connection limit does: the request provably did not run.
-func TestRefusedConnectionIsNotSent(t *testing.T) {
+// TestConnectionClosedOnAcceptIsDialError closes each new connection at once, as a leaf
+// over its connection limit does: the request can't have run.
+func TestConnectionClosedOnAcceptIsDialError(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -236,17 +238,17 @@
 	c := New(1 << 16)
 	defer c.Close()
 	target := Target{ID: "full", Address: l.Addr().String(), Connections: 1}
-	_, err = c.Run(context.Background(), target, &Request{Range: keyrange.Range{From: 0, To: 1}}, func() bool { t.Error("sent over a refused connection"); return true })
+	_, err = c.Run(context.Background(), target, &Request{Range: keyrange.Range{From: 0, To: 1}}, func() bool { t.Error("sent over a connection that was closed on accept"); return true })
 	var dial *DialError
 	if !errors.As(err, &dial) {
 		t.Fatalf("error %v, want a DialError", err)
 	}
 }
 
-// TestOlderPlanDoesNotRaiseTheShare runs an exchange that was planned by an
-// older view, after a newer one has lowered the share.
-func TestOlderPlanDoesNotRaiseTheShare(t *testing.T) {
-	srv := httptest.NewServer(withHealth(good(func(http.Header) {})))
+// TestOlderTargetDoesNotRaiseLimit runs a request with a target from an older view after
+// a newer view has lowered the connection limit.
+func TestOlderTargetDoesNotRaiseLimit(t *testing.T) {
+	srv := httptest.NewServer(withHealth(replyHandler(func(http.Header) {})))
 	defer srv.Close()
 	c := New(1 << 16)
 	defer c.Close()
@@ -258,11 +260,11 @@
 	if _, err := c.Run(context.Background(), older, &Request{Attempt: "a", Range: keyrange.Range{From: 0, To: 1}}, func() bool { return true }); err != nil {
 		t.Fatal(err)
 	}
-	if _, limit := c.leaves[newer.key()].places.count(); limit != 2 {
-		t.Errorf("the share is %d again, want 2", limit)
+	if _, limit := c.leaves[newer.key()].quota.count(); limit != 2 {
+		t.Errorf("the limit is %d again, want 2", limit)
 	}
 	c.Apply([]Target{{ID: "leaf-2", Address: "127.0.0.1:1"}})
 	if _, kept := c.leaves[newer.key()]; kept || len(c.leaves) != 1 {
-		t.Errorf("%d leaves are kept, one that is not there any more: %v", len(c.leaves), kept)
+		t.Errorf("%d leaves are kept, among them the one that was removed: %v", len(c.leaves), kept)
 	}
 }
--- a/entry/leafclient/prove.go
+++ b/entry/leafclient/verify.go
@@ -13,12 +13,12 @@
 	"github.com/fuchsiaroad/fuchsiaroad/api/leafapi"
 )
 
-// prove puts one health question over a new connection before any request may
-// use it. A leaf over its connection limit takes a connection and closes it at
-// once; without the question, the first request on it would be lost in a way
-// that proves nothing: it might have run, and might have broken the leaf. The
-// cost is one exchange per dial, ahead of traffic when connections are warm.
-func prove(ctx context.Context, conn net.Conn, address string) error {
+// verifyConn runs one health request over a new connection before any other request
+// may use it. A leaf that is over its connection limit accepts a connection and
+// closes it at once. Without the health request, the first request on it would fail
+// with an ambiguous error: it might have run, and might have crashed the leaf. The
+// cost is one exchange per dial, ahead of traffic if connections are opened by Warm.
+func verifyConn(ctx context.Context, conn net.Conn, address string) error {
 	deadline := time.Now().Add(dialTimeout)
 	if d, ok := ctx.Deadline(); ok && d.Before(deadline) {
 		deadline = d
@@ -27,7 +27,7 @@
 		return err
 	}
 	stop := context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) })
-	err := question(conn, address)
+	err := exchangeHealth(conn, address)
 	if !stop() {
 		return ctx.Err()
 	}
@@ -37,8 +37,9 @@
 	return conn.SetDeadline(time.Time{})
 }
 
-// question asks for health and reads the whole answer, whatever it says.
-func question(conn net.Conn, address string) error {
+// exchangeHealth sends a health request and reads the complete response, of whatever
+// status. It fails if the connection can't be reused after it.
+func exchangeHealth(conn net.Conn, address string) error {
 	req, err := http.NewRequest(http.MethodGet, "http://"+address+leafapi.PathHealth, nil)
 	if err != nil {
 		return err
@@ -56,10 +57,10 @@
 		return err
 	}
 	if resp.Close {
-		return errors.New("the leaf does not keep the connection")
+		return errors.New("the leaf closes the connection after its health response")
 	}
 	if n := reader.Buffered(); n > 0 {
-		return fmt.Errorf("%d bytes after the answer", n)
+		return fmt.Errorf("%d unsolicited bytes after the health response", n)
 	}
 	return nil
 }
