--- a/entry/leafclient/conns.go
+++ b/entry/leafclient/conns.go
@@ -81,12 +81,12 @@
 		lt.quota.release()
 		return nil, err
 	}
-	counted := &quotaConn{Conn: conn, leaf: lt}
-	if err := verifyConn(ctx, counted, address); err != nil {
-		_ = counted.Close()
+	qc := &quotaConn{Conn: conn, leaf: lt}
+	if err := verifyConn(ctx, qc, address); err != nil {
+		_ = qc.Close()
 		return nil, fmt.Errorf("new connection: %w", err)
 	}
-	return counted, nil
+	return qc, nil
 }
 
 // quotaConn is a connection that releases its quota a dialCost after it is closed.
@@ -153,14 +153,14 @@
 func (c *Client) removeUnnamed(named map[string]bool) []*leafTransport {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var dropped []*leafTransport
+	var removed []*leafTransport
 	for key, lt := range c.leaves {
 		if !named[key] {
-			dropped = append(dropped, lt)
+			removed = append(removed, lt)
 			delete(c.leaves, key)
 		}
 	}
-	return dropped
+	return removed
 }
 
 // Close removes all leaves and closes their idle connections.
--- a/entry/leafclient/leafclient.go
+++ b/entry/leafclient/leafclient.go
@@ -124,8 +124,8 @@
 type sendGate struct {
 	beforeSend func() bool
 	mu         sync.Mutex
-	asked      bool
-	allowed    bool
+	asked      bool // beforeSend has been called
+	allowed    bool // beforeSend returned true
 }
 
 // gotConn implements httptrace.ClientTrace.GotConn: the transport calls it before it
--- a/entry/leafclient/socketpool.go
+++ b/entry/leafclient/socketpool.go
@@ -144,7 +144,7 @@
 	}
 }
 
-// close drops the idle connections; those in use are dropped when put returns them.
+// close drops the idle connections; those in use are dropped when they are put back.
 func (s *socketPool) close() {
 	s.mu.Lock()
 	s.closed = true
