--- a/entry/hosted/forwarding/gather.go
+++ b/entry/hosted/forwarding/gather.go
@@ -155,7 +155,7 @@
 	}
 	return &executor.GatherReply{
 		Version: g.Index, Ranges: decodeRanges(g.Ranges), Going: g.Going, Sent: g.Sent, Hedges: g.Hedges, Retries: g.Retries,
-		Carried: &gateway.Gathered{Signatures: g.Signatures, Body: reply.Body},
+		Carried: &gateway.GatherResult{Signatures: g.Signatures, Body: reply.Body},
 	}
 }
 
@@ -222,13 +222,13 @@
 
 // runGather gathers a group for another instance. It returns the first reply, and a function
 // that waits for each further one; nil if there are none.
-func (f *Forwarder) runGather(ctx context.Context, v *view.View, r *peerapi.ForwardRequest, received gateway.Handed) (*peerapi.ForwardReply, peer.Rest) {
+func (f *Forwarder) runGather(ctx context.Context, v *view.View, r *peerapi.ForwardRequest, received gateway.RelayedRequest) (*peerapi.ForwardReply, peer.Rest) {
 	if reason := f.gatherDeclineReason(v, r); reason != "" { // the view has changed since the offer
 		return &peerapi.ForwardReply{Version: v.Generation, Gathered: &peerapi.Gathered{Refused: reason}}, nil
 	}
 	start := time.Now()
-	gathering := f.gateway.Gather(ctx, v, gateway.Group{
-		Handed: received, Service: v.Services[r.Gather.Service], Only: findGroup(v, r.Gather),
+	gathering := f.gateway.Gather(ctx, v, gateway.GatherRequest{
+		RelayedRequest: received, Service: v.Services[r.Gather.Service], ShardGroups: findGroup(v, r.Gather),
 	})
 	next := func(ctx context.Context) (*peerapi.ForwardReply, bool) {
 		reply := encodeGathered(gathering.Next(ctx))
@@ -244,12 +244,12 @@
 }
 
 // encodeGathered returns the message with what was gathered, or with the error.
-func encodeGathered(gathered *gateway.Gathered, err error) *peerapi.ForwardReply {
+func encodeGathered(gathered *gateway.GatherResult, err error) *peerapi.ForwardReply {
 	if err != nil {
 		return &peerapi.ForwardReply{Gathered: &peerapi.Gathered{Refused: err.Error()}}
 	}
 	out := &peerapi.Gathered{
-		Index: gathered.Version, Signatures: gathered.Signatures, Going: gathered.Going, Sent: gathered.Sent, Hedges: gathered.Hedges, Retries: gathered.Retries,
+		Index: gathered.Version, Signatures: gathered.Signatures, Going: gathered.HasMore, Sent: gathered.Sent, Hedges: gathered.Hedges, Retries: gathered.Retries,
 	}
 	for _, k := range gathered.Ranges {
 		out.Ranges = append(out.Ranges, peerapi.Range{k.From, k.To})
