--- a/entry/executor/admit.go
+++ b/entry/executor/admit.go
@@ -23,7 +23,7 @@
 	if !now.Before(r.request.Deadline) {
 		return refuse(RefusedDeadline, leastRetryAfter, "the deadline has passed")
 	}
-	if r.request.Only != nil {
+	if r.request.OnlyShards != nil {
 		return nil
 	}
 	fitters := make([]dispatch.LoadEstimator, 0, len(r.request.Service.Upstreams))
@@ -63,7 +63,7 @@
 
 // tellAdmission tells the admission policy how an admitted query ended.
 func (r *run) tellAdmission(answer *query.Answer) {
-	if r.request.Only != nil {
+	if r.request.OnlyShards != nil {
 		return
 	}
 	now := time.Now()
--- a/entry/executor/arrivals.go
+++ b/entry/executor/arrivals.go
@@ -13,7 +13,7 @@
 // that share a shard's name share its bound. It guards the kernel's windows by a
 // lock.
 type arrivals struct {
-	slack func(shards int) float64 // Config.RepeatSlack
+	slack func(shards int) float64 // Config.RepeatSlackShare
 
 	mu      sync.Mutex
 	windows map[string]*kernelrepetition.RepeatLimiter // by shard name
@@ -59,9 +59,9 @@
 	return least, len(a.windows)
 }
 
-// RepeatsLeft is the least number of repeats that this instance may still make at any
+// RemainingRepeats is the least number of repeats that this instance may still make at any
 // of so many shards.
-func (e *Executor) RepeatsLeft(now time.Time) (least float64, shards int) {
+func (e *Executor) RemainingRepeats(now time.Time) (least float64, shards int) {
 	return e.arrivals.left(now)
 }
 
--- a/entry/executor/bench_test.go
+++ b/entry/executor/bench_test.go
@@ -36,7 +36,7 @@
 				defer func() { _ = metrics.Close() }()
 				w := &bench{log: log, metrics: metrics}
 				w.executor = New(Config{
-					Leaves: instant{}, LeafObserver: noObserver{}, Log: log, Metrics: metrics, Ledger: noLedger{},
+					LeafClient: instant{}, LeafObserver: noObserver{}, Log: log, Metrics: metrics, Ledger: noLedger{},
 					Policies: Policies{Dispatch: dispatch.DefaultPolicies(), Repetition: "budgeted"},
 				})
 				w.setView(1, shards)
--- a/entry/executor/exchange.go
+++ b/entry/executor/exchange.go
@@ -37,8 +37,8 @@
 	// sent: a leaf that breaks whatever comes is lost, and proves nothing.
 	up := e.leafState.up(s.leaf.ID)
 	target := leafclient.Target{ID: s.leaf.ID, Name: s.leaf.Name, Address: s.leaf.Address, Connections: s.leaf.Connections, DialCost: s.dialCost}
-	request := &leafclient.Request{ID: a.run.id, Attempt: a.token, Version: a.offer.Version, Range: a.offer.Part.Range, Body: a.run.request.Body, Passed: a.run.request.Passed}
-	reply, err := e.config.Leaves.Run(s.ctx, target, request, func() bool { return a.run.maySend(a, leaf) })
+	request := &leafclient.Request{ID: a.run.id, Attempt: a.token, Version: a.offer.Version, Range: a.offer.Part.Range, Body: a.run.request.Body, Passed: a.run.request.Forwarded}
+	reply, err := e.config.LeafClient.Run(s.ctx, target, request, func() bool { return a.run.maySend(a, leaf) })
 	if err != nil {
 		a.run.service.metrics.Attempt(attemptOutcome(s.ctx, err), s.action.QueueTime)
 		e.failed(s.ctx, p, a, exchanged{leaf: leaf, up: up, err: err})
@@ -46,7 +46,7 @@
 	}
 	a.run.sawRun()
 	a.run.sawReply(a, time.Since(a.started))
-	e.Learn(s.leaf.ID, reply.Said)
+	e.RecordStatus(s.leaf.ID, reply.Said)
 	a.run.service.metrics.Attempt(telemetry.AttemptReply, s.action.QueueTime)
 	p.finish(a, dispatch.OutcomeReply, reply.Service)
 	a.run.mail.put(query.Reply{Attempt: a.offer.Attempt, Leaf: leaf, Version: reply.Version, Ranges: reply.Ranges, Body: reply.Body, Versions: reply.Versions, Attachment: reply.Carried})
@@ -99,7 +99,7 @@
 		p.finish(a, outcome, 0)
 		a.run.mail.put(query.NotSent{Attempt: id, Leaf: leaf, Reason: query.ReasonDialFailed})
 	case errors.As(err, &declined):
-		e.Learn(declined.Leaf, declined.Said)
+		e.RecordStatus(declined.Leaf, declined.Said)
 		outcome := dispatch.OutcomeDeclined
 		if declined.Reason == leafapi.DeclineOverloaded {
 			outcome = dispatch.OutcomeShed
@@ -150,13 +150,13 @@
 	}
 }
 
-// Learn keeps what a leaf said of itself. It implements probe.Learner.
-func (e *Executor) Learn(leafID string, said leafclient.Said) {
+// RecordStatus keeps what a leaf said of itself. It implements probe.StatusRecorder.
+func (e *Executor) RecordStatus(leafID string, said leafclient.Said) {
 	if e.leafState.saw(leafID, said, time.Now()) {
-		e.config.LeafObserver.SawBorn(leafID, said.Born)
+		e.config.LeafObserver.ObserveStart(leafID, said.Born)
 	}
 	if said.Draining {
-		e.config.LeafObserver.SawLeaving(leafID, said.Born)
+		e.config.LeafObserver.ObserveDraining(leafID, said.Born)
 	}
 }
 
--- a/entry/executor/execute.go
+++ b/entry/executor/execute.go
@@ -136,7 +136,7 @@
 	r.repetition = r.service.repetition.Load()
 	r.groups = e.plan(req, mode)
 	r.machine = query.New(query.Config{
-		Groups: parts(r.groups), OnlyShards: req.Only,
+		Groups: parts(r.groups), OnlyShards: req.OnlyShards,
 		View: req.View, Service: req.Service, Start: req.Start, Deadline: req.Deadline,
 		Versions:     r.versions,
 		Budget:       r.repetition,
--- a/entry/executor/executor.go
+++ b/entry/executor/executor.go
@@ -20,18 +20,18 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/view"
 )
 
-// Leaves carries one attempt to one leaf; *leafclient.Client does it.
-type Leaves interface {
+// LeafClient carries one attempt to one leaf; *leafclient.Client does it.
+type LeafClient interface {
 	Run(ctx context.Context, t leafclient.Target, r *leafclient.Request, sent func() bool) (*leafclient.Reply, error)
 }
 
 // LeafObserver takes what replies show of leaves: a drain mark, and a start that was not
 // known. A birth of 0 is not known. It must not block.
 type LeafObserver interface {
-	SawLeaving(leafID string, born int64)
-	SawBorn(leafID string, born int64)
-	// SpreadNow asks to tell the peers at once what the quarantine learnt.
-	SpreadNow()
+	ObserveDraining(leafID string, born int64)
+	ObserveStart(leafID string, born int64)
+	// GossipNow asks to tell the peers at once what the quarantine learnt.
+	GossipNow()
 }
 
 // Request is one caller's checked request.
@@ -40,32 +40,32 @@
 	Service *view.Service
 	Caller  *document.Caller
 	Body    []byte
-	// Passed is the request where it is handed on to leaves as it came; see Forward.
-	Passed   *leafclient.Passed
-	Key      string // Idempotency-Key, "" if none was given
-	Start    time.Time
-	Deadline time.Time
-	// Way is the time that the request and its answer spend between caller and
+	// Forwarded is the request where it is handed on to leaves as it came; see Forward.
+	Forwarded *leafclient.Passed
+	Key       string // Idempotency-Key, "" if none was given
+	Start     time.Time
+	Deadline  time.Time
+	// NetworkDelay is the time that the request and its answer spend between caller and
 	// instance; 0 where that is not known.
-	Way time.Duration
-	// Only, if it is set, limits the request to the shards that this instance gathers
+	NetworkDelay time.Duration
+	// OnlyShards, if it is set, limits the request to the shards that this instance gathers
 	// for another. Interim receives what there is when an answer is due, and again with
 	// each part that comes later; it must not block.
-	Only    []query.Group
-	Interim func(*query.Answer)
+	OnlyShards []query.Group
+	OnInterim  func(*query.Answer)
 }
 
 // way is Way, or what is assumed of it.
 func (r *Request) way() time.Duration {
-	if r.Way <= 0 {
+	if r.NetworkDelay <= 0 {
 		return margin.DefaultNetworkDelay
 	}
-	return r.Way
+	return r.NetworkDelay
 }
 
 // Config is what an executor needs.
 type Config struct {
-	Leaves       Leaves
+	LeafClient   LeafClient
 	LeafObserver LeafObserver
 	Log          *telemetry.Log
 	Metrics      *telemetry.Metrics
@@ -85,19 +85,19 @@
 	Ages func() (config, leaves time.Duration)
 	// Gatherer has parts of queries gathered by other instances; nil: none are.
 	Gatherer Gatherer
-	// RepeatSlack is this instance's part, in (0, 1], of the repeats of an upstream of
+	// RepeatSlackShare is this instance's part, in (0, 1], of the repeats of an upstream of
 	// so many shards that all instances may make without any request; it may change.
 	// Nil means all of them.
-	RepeatSlack func(shards int) float64
+	RepeatSlackShare func(shards int) float64
 	// Ledger claims the keys of non-idempotent requests.
 	Ledger Ledger
-	// LostToSuspect is how many different leaves must be lost under a request that none
+	// SuspectAfterLosses is how many different leaves must be lost under a request that none
 	// ran to its end before it is suspected of breaking them, for leaf protocols whose
 	// connections end for many reasons; 0: losses prove nothing.
-	LostToSuspect int
-	// QuarantineFor is how long a request that breaks leaves is refused; 0 means ten
+	SuspectAfterLosses int
+	// QuarantineDuration is how long a request that breaks leaves is refused; 0 means ten
 	// minutes.
-	QuarantineFor time.Duration
+	QuarantineDuration time.Duration
 }
 
 // Executor runs queries. It is safe for concurrent use.
@@ -125,16 +125,16 @@
 	return &Executor{
 		config:     c,
 		leafState:  newLeafState(),
-		quarantine: newQuarantineState(c.FleetKey, c.QuarantineFor),
+		quarantine: newQuarantineState(c.FleetKey, c.QuarantineDuration),
 		pools:      make(map[string]*pool),
 		services:   make(map[string]*serviceState),
 		runs:       make(map[*run]struct{}),
-		arrivals:   newArrivals(c.RepeatSlack),
+		arrivals:   newArrivals(c.RepeatSlackShare),
 	}
 }
 
-// Running is the number of queries in flight.
-func (e *Executor) Running() int64 { return e.running.Load() }
+// QueriesInFlight is the number of queries in flight.
+func (e *Executor) QueriesInFlight() int64 { return e.running.Load() }
 
 // Wait returns when no query is in flight, or with the context's error.
 func (e *Executor) Wait(ctx context.Context) error {
@@ -190,9 +190,9 @@
 	return p
 }
 
-// Follow takes a new view. It is called for each view before queries use it,
+// SetView takes a new view. It is called for each view before queries use it,
 // and tells the queries in flight, which may have to ask split shards again.
-func (e *Executor) Follow(v *view.View) {
+func (e *Executor) SetView(v *view.View) {
 	e.leafState.follow(v)
 	pools := e.allPools()
 	e.runsMu.Lock()
--- a/entry/executor/executor_test.go
+++ b/entry/executor/executor_test.go
@@ -99,9 +99,9 @@
 // noObserver drops what replies show.
 type noObserver struct{}
 
-func (noObserver) SawLeaving(string, int64) {}
-func (noObserver) SawBorn(string, int64)    {}
-func (noObserver) SpreadNow()               {}
+func (noObserver) ObserveDraining(string, int64) {}
+func (noObserver) ObserveStart(string, int64)    {}
+func (noObserver) GossipNow()                    {}
 
 // noLedger refuses every claim.
 type noLedger struct{}
@@ -130,7 +130,7 @@
 	}
 	b := &bench{t: t, log: log, metrics: telemetry.NewMetrics(), leaves: &fakeLeaves{by: make(map[string]behaviour), ran: make(map[string]int)}}
 	b.executor = New(Config{
-		Leaves: b.leaves, LeafObserver: noObserver{}, Log: log, Metrics: b.metrics, Ledger: noLedger{},
+		LeafClient: b.leaves, LeafObserver: noObserver{}, Log: log, Metrics: b.metrics, Ledger: noLedger{},
 		Policies: Policies{Dispatch: dispatch.DefaultPolicies(), Repetition: "budgeted"},
 	})
 	if err := b.executor.config.Policies.Check(); err != nil {
@@ -165,7 +165,7 @@
 	}
 	b.view = view.Build(sequence, "h", doc, func(string) bool { return false }, func(*document.Upstream, string) int { return 3 })
 	b.view.Sequence = sequence
-	b.executor.Follow(b.view)
+	b.executor.SetView(b.view)
 }
 
 // ask runs one request.
@@ -215,7 +215,7 @@
 				}
 				id := fmt.Sprintf("l%d-%s", i, r)
 				b.leaves.by[id] = b.leaves.serve(5*time.Millisecond, versions...)
-				b.executor.Learn(id, leafclient.Said{Versions: []uint64{1}}) // what was last seen is old
+				b.executor.RecordStatus(id, leafclient.Said{Versions: []uint64{1}}) // what was last seen is old
 			}
 		}
 		resp, err := b.ask(t.Context(), "ask")
@@ -313,7 +313,7 @@
 			t.Errorf("the query outlived its caller by %v", took-50*time.Millisecond)
 		}
 		synctest.Wait()
-		if n := b.executor.Running(); n != 0 {
+		if n := b.executor.QueriesInFlight(); n != 0 {
 			t.Errorf("%d queries in flight", n)
 		}
 	})
--- a/entry/executor/gather.go
+++ b/entry/executor/gather.go
@@ -35,12 +35,12 @@
 type GatherReply struct {
 	Version uint64 // of the index
 	Ranges  []keyrange.Range
-	// Going says that more replies may come.
-	Going bool
+	// HasMore says that more replies may come.
+	HasMore bool
 	// Sent, Hedges and Retries count its attempts.
 	Sent, Hedges, Retries int
-	// Carried is handed on with the answer.
-	Carried any
+	// Attachment is handed on with the answer.
+	Attachment any
 }
 
 // NotGatheredError says that no other instance ran anything of a group.
@@ -61,7 +61,7 @@
 // plan says what others are to gather. What is gathered for another instance is
 // not handed on again, nor is a request that may break leaves.
 func (e *Executor) plan(req *Request, mode quarantine.Mode) []Group {
-	if e.config.Gatherer == nil || req.Only != nil || mode != quarantine.ModeRun || len(req.Service.Upstreams) != 1 {
+	if e.config.Gatherer == nil || req.OnlyShards != nil || mode != quarantine.ModeRun || len(req.Service.Upstreams) != 1 {
 		return nil
 	}
 	upstream := req.Service.Upstreams[0]
@@ -147,8 +147,8 @@
 		r.sawRun()
 	}
 	r.mail.put(query.Gathered{
-		Attempt: id, Version: reply.Version, Ranges: reply.Ranges, HasMore: reply.Going,
-		Sent: reply.Sent, Hedges: reply.Hedges, Retries: reply.Retries, Attachment: reply.Carried,
+		Attempt: id, Version: reply.Version, Ranges: reply.Ranges, HasMore: reply.HasMore,
+		Sent: reply.Sent, Hedges: reply.Hedges, Retries: reply.Retries, Attachment: reply.Attachment,
 	})
 }
 
--- a/entry/executor/margins.go
+++ b/entry/executor/margins.go
@@ -25,9 +25,9 @@
 	return margin.ForObjective(objective, way, m.own.UpperBound(margin.InitialOwnDelay))
 }
 
-// Written learns from an answer that has been written. Only one that was due at
+// RecordWritten learns from an answer that has been written. Only one that was due at
 // a set time shows how late this instance is.
-func (e *Executor) Written(a *query.Answer, at time.Time) {
+func (e *Executor) RecordWritten(a *query.Answer, at time.Time) {
 	if a == nil || a.SettledAt.IsZero() {
 		return
 	}
--- a/entry/executor/quarantine.go
+++ b/entry/executor/quarantine.go
@@ -84,8 +84,8 @@
 	mac.Write([]byte(r.Service.Config.Name))
 	mac.Write([]byte{0})
 	mac.Write(r.Body)
-	if r.Passed != nil {
-		r.Passed.Identify(mac)
+	if r.Forwarded != nil {
+		r.Forwarded.Identify(mac)
 	}
 	return hex.EncodeToString(mac.Sum(nil)[:fingerprintBytes])
 }
@@ -150,7 +150,7 @@
 	for _, action := range actions {
 		switch action := action.(type) {
 		case quarantine.Announce:
-			e.config.LeafObserver.SpreadNow()
+			e.config.LeafObserver.GossipNow()
 		case quarantine.PhaseChanged:
 			e.tellRuns(action)
 		}
--- a/entry/executor/run.go
+++ b/entry/executor/run.go
@@ -176,7 +176,7 @@
 	case query.Verdict:
 		r.verdict(action)
 	case query.Interim:
-		r.request.Interim(&action.Answer)
+		r.request.OnInterim(&action.Answer)
 	case query.Finish:
 		answer := action.Answer
 		r.answer = &answer
--- a/entry/executor/sharing.go
+++ b/entry/executor/sharing.go
@@ -27,8 +27,8 @@
 	return out
 }
 
-// ReportSlow passes on what other instances saw.
-func (e *Executor) ReportSlow(list []slowness.SlowLeaf) {
+// ApplySlowLeaves passes on what other instances saw.
+func (e *Executor) ApplySlowLeaves(list []slowness.SlowLeaf) {
 	for _, p := range e.allPools() {
 		p.handle(func() dispatch.Event { return dispatch.SlowLeavesReported{Leaves: list} })
 	}
--- a/entry/executor/story.go
+++ b/entry/executor/story.go
@@ -14,10 +14,10 @@
 
 // name is the caller's own name of the request, "" if it gave none.
 func (r *Request) name() string {
-	if r.Passed == nil {
+	if r.Forwarded == nil {
 		return ""
 	}
-	return r.Passed.ID
+	return r.Forwarded.ID
 }
 
 // shardName names an attempt's shard for the log: by its own name where it has
@@ -75,7 +75,7 @@
 		configAge, leavesAge := r.executor.config.Ages()
 		more = append(more, "config_age", configAge, "leaves_age", leavesAge)
 	}
-	if r.request.Only != nil {
+	if r.request.OnlyShards != nil {
 		more = append(more, "group", true) // of a query that another instance answers
 	}
 	if queued := time.Duration(r.waited.Load()); queued > 0 {
--- a/entry/executor/suspicion.go
+++ b/entry/executor/suspicion.go
@@ -20,12 +20,12 @@
 func (e *Executor) lost(a *attempt) bool {
 	r := a.run
 	switch {
-	case e.config.LostToSuspect <= 0 || r.ran.Load():
+	case e.config.SuspectAfterLosses <= 0 || r.ran.Load():
 		return false
 	case r.suspect.Load():
 		return true
 	}
-	enough := max(e.config.LostToSuspect, int(r.direct.Load())/2)
+	enough := max(e.config.SuspectAfterLosses, int(r.direct.Load())/2)
 	suspect, actions := e.quarantine.lost(r.fingerprint, e.leafState.life(a.leafID), enough, time.Now())
 	if !suspect {
 		return false
--- a/entry/gateway/gateway.go
+++ b/entry/gateway/gateway.go
@@ -24,8 +24,8 @@
 // Executor runs passed-on requests; *executor.Executor does it.
 type Executor interface {
 	Forward(ctx context.Context, r *executor.Request) (*query.Answer, error)
-	// Written is called when an answer has gone out.
-	Written(a *query.Answer, at time.Time)
+	// RecordWritten is called when an answer has gone out.
+	RecordWritten(a *query.Answer, at time.Time)
 }
 
 // Lifecycle says how far a stop of the instance has come.
@@ -112,7 +112,7 @@
 	}
 	answer, err := g.config.Executor.Forward(r.Context(), req)
 	reply := g.reply(req, answer, err)
-	reply.Written = func(at time.Time) { g.config.Executor.Written(answer, at) }
+	reply.Written = func(at time.Time) { g.config.Executor.RecordWritten(answer, at) }
 	reply.write(w, r.Method)
 }
 
@@ -121,7 +121,7 @@
 	Passed *leafclient.Passed
 	// Start is when it came in, and Deadline when it must be answered.
 	Start, Deadline time.Time
-	// Way is executor.Request.Way.
+	// Way is executor.Request.NetworkDelay.
 	Way time.Duration
 }
 
@@ -132,11 +132,11 @@
 		return refused.reply()
 	}
 	req := &executor.Request{
-		View: v, Service: service, Caller: passedCaller, Start: h.Start, Deadline: h.Deadline, Way: h.Way, Passed: h.Passed,
+		View: v, Service: service, Caller: passedCaller, Start: h.Start, Deadline: h.Deadline, NetworkDelay: h.Way, Forwarded: h.Passed,
 	}
 	answer, err := g.config.Executor.Forward(ctx, req)
 	reply := g.reply(req, answer, err)
-	g.config.Executor.Written(answer, time.Now())
+	g.config.Executor.RecordWritten(answer, time.Now())
 	return reply
 }
 
@@ -186,8 +186,8 @@
 		return nil, refused
 	}
 	return &executor.Request{
-		View: v, Service: service, Caller: passedCaller, Start: start, Deadline: deadline, Way: wayOf(r.Context(), start),
-		Passed: &leafclient.Passed{
+		View: v, Service: service, Caller: passedCaller, Start: start, Deadline: deadline, NetworkDelay: wayOf(r.Context(), start),
+		Forwarded: &leafclient.Passed{
 			ID: r.Header.Get(g.config.Headers.RequestID), Method: r.Method, Target: target, Host: r.Host,
 			Header: endToEnd(r.Header), Body: body,
 		},
--- a/entry/gateway/gather.go
+++ b/entry/gateway/gather.go
@@ -56,7 +56,7 @@
 	go func() {
 		answer, err := g.config.Executor.Forward(ctx, &executor.Request{
 			View: v, Service: group.Service, Caller: passedCaller, Start: group.Start, Deadline: group.Deadline,
-			Way: group.Way, Passed: group.Passed, Only: group.Only, Interim: func(a *query.Answer) { x.set(a, nil, false) },
+			NetworkDelay: group.Way, Forwarded: group.Passed, OnlyShards: group.Only, OnInterim: func(a *query.Answer) { x.set(a, nil, false) },
 		})
 		x.set(answer, err, true)
 	}()
--- a/entry/hosted/control.go
+++ b/entry/hosted/control.go
@@ -148,13 +148,13 @@
 	n := c.node
 	configAge, leavesAge := n.ages()
 	dials, open := n.leaves.Opened()
-	repeatsLeft, limited := n.executor.RepeatsLeft(now)
+	repeatsLeft, limited := n.executor.RemainingRepeats(now)
 	_, role := n.fleet.source(now)
 	c.meters.observe(state{
 		source: c.stateSource(), role: role.String(),
 		configAge: configAge.Seconds(), leavesAge: leavesAge.Seconds(), version: c.catalog.Version(),
 		leaves: c.catalog.LeafCount(), slowLeaves: len(n.slow.Slow(now)), instances: look(n.fleet, (*fleet.Fleet).Size),
-		connections: open, dials: dials, running: n.executor.Running(), logDrops: n.log.Dropped(),
+		connections: open, dials: dials, running: n.executor.QueriesInFlight(), logDrops: n.log.Dropped(),
 		repeatsLeft: repeatsLeft, limitedShards: limited, forward: n.forwarder.ForwardDelay().Seconds(), gather: n.forwarder.GatherDelay().Seconds(),
 	})
 }
@@ -298,12 +298,12 @@
 // resized says that the fleet's size has changed.
 func (c *control) resized() { c.offer(fleetResized{}) }
 
-// SawLeaving implements executor.LeafObserver. Leaves are known by their incarnations here.
-func (c *control) SawLeaving(leafID string, _ int64) { c.leafGone(leafID) }
+// ObserveDraining implements executor.LeafObserver. Leaves are known by their incarnations here.
+func (c *control) ObserveDraining(leafID string, _ int64) { c.leafGone(leafID) }
 
-// SawBorn implements executor.LeafObserver. Births come from the store here.
-func (c *control) SawBorn(string, int64) {}
+// ObserveStart implements executor.LeafObserver. Births come from the store here.
+func (c *control) ObserveStart(string, int64) {}
 
-// SpreadNow implements executor.LeafObserver. Instances here do not tell each other
+// GossipNow implements executor.LeafObserver. Instances here do not tell each other
 // of quarantines.
-func (c *control) SpreadNow() {}
+func (c *control) GossipNow() {}
--- a/entry/hosted/forwarding/gather.go
+++ b/entry/hosted/forwarding/gather.go
@@ -151,8 +151,8 @@
 		return &executor.GatherReply{}
 	}
 	return &executor.GatherReply{
-		Version: g.Index, Ranges: keyRanges(g.Ranges), Going: g.Going, Sent: g.Sent, Hedges: g.Hedges, Retries: g.Retries,
-		Carried: &gateway.Gathered{Signatures: g.Signatures, Body: reply.Body},
+		Version: g.Index, Ranges: keyRanges(g.Ranges), HasMore: g.Going, Sent: g.Sent, Hedges: g.Hedges, Retries: g.Retries,
+		Attachment: &gateway.Gathered{Signatures: g.Signatures, Body: reply.Body},
 	}
 }
 
@@ -168,7 +168,7 @@
 // logGather tells what came of a group.
 func (f *Forwarder) logGather(ctx context.Context, r *executor.Request, g executor.Group, to fleet.Instance, reply *peerapi.ForwardReply, err error, spent time.Duration) {
 	d := telemetry.Decision{
-		Part: gatherPart, What: "gathered", Request: r.Passed.ID, Took: spent, Class: telemetry.Routine,
+		Part: gatherPart, What: "gathered", Request: r.Forwarded.ID, Took: spent, Class: telemetry.Routine,
 		More: []any{"by", to.Name, "to_zone", g.Zone, "ranges", len(g.Ranges), "config", r.View.Generation, "forward_delay", f.gatherDelays.high()},
 	}
 	switch {
--- a/entry/hosted/forwarding/gather_test.go
+++ b/entry/hosted/forwarding/gather_test.go
@@ -169,7 +169,7 @@
 			t.Errorf("%s: %q, want %q", tc.name, got, tc.declined)
 		}
 	}
-	handed := gateway.Handed{Start: time.Now(), Deadline: time.Now().Add(time.Minute), Passed: r.Passed}
+	handed := gateway.Handed{Start: time.Now(), Deadline: time.Now().Add(time.Minute), Passed: r.Forwarded}
 	gone := &peerapi.ForwardRequest{Version: 5, Gather: &peerapi.Gather{Service: "r", Upstream: "set-that-was", TopK: 1}}
 	if reply, rest := n.runGather(t.Context(), r.View, gone, handed); rest != nil || reply.Gathered.Refused == "" || len(reply.Gathered.Ranges) != 0 {
 		t.Errorf("a set of shards that is gone since the offer: %+v", reply.Gathered)
--- a/entry/hosted/forwarding/relay.go
+++ b/entry/hosted/forwarding/relay.go
@@ -99,11 +99,11 @@
 
 // forwardRequest is a request as it is handed over now, and reaches the other instance after a delay.
 func (f *Forwarder) forwardRequest(r *executor.Request, now time.Time, delay time.Duration) *peerapi.ForwardRequest {
-	p := r.Passed
+	p := r.Forwarded
 	return &peerapi.ForwardRequest{
 		Version: r.View.Generation, Request: p.ID, Method: p.Method, Target: p.Target, Host: p.Host, Header: p.Header, Body: p.Body,
 		SpentUS: (now.Sub(r.Start) + delay).Microseconds(), LeftUS: (r.Deadline.Sub(now) - delay).Microseconds(),
-		WayUS: r.Way.Microseconds(),
+		WayUS: r.NetworkDelay.Microseconds(),
 	}
 }
 
@@ -126,8 +126,8 @@
 // logRelay tells what came of handing a request over.
 func (f *Forwarder) logRelay(ctx context.Context, r *executor.Request, to fleet.Instance, err error, spent time.Duration) {
 	d := telemetry.Decision{
-		Part: relayPart, What: "handed over", Request: r.Passed.ID, Took: spent,
-		More: []any{"to", to.Name, "config", r.View.Generation, "way", r.Way, "forward_delay", f.forwardDelays.high()}, Class: telemetry.Outcome,
+		Part: relayPart, What: "handed over", Request: r.Forwarded.ID, Took: spent,
+		More: []any{"to", to.Name, "config", r.View.Generation, "way", r.NetworkDelay, "forward_delay", f.forwardDelays.high()}, Class: telemetry.Outcome,
 	}
 	if err != nil {
 		d.Why = err.Error()
--- a/entry/hosted/forwarding/relay_test.go
+++ b/entry/hosted/forwarding/relay_test.go
@@ -124,7 +124,7 @@
 	c.ApplyLeaves(catalog.Listing{Revision: 1}, time.Now(), time.Now())
 	v := view.Build(5, "", c.Document(), c.Draining, func(*document.Upstream, string) int { return 1 })
 	return &executor.Request{
-		View: v, Service: v.Services["r"], Passed: &leafclient.Passed{ID: "q", Method: http.MethodGet, Target: "/x", Host: "h"},
+		View: v, Service: v.Services["r"], Forwarded: &leafclient.Passed{ID: "q", Method: http.MethodGet, Target: "/x", Host: "h"},
 		Start: time.Now(), Deadline: time.Now().Add(time.Minute),
 	}
 }
--- a/entry/hosted/forwarding/version_test.go
+++ b/entry/hosted/forwarding/version_test.go
@@ -24,7 +24,7 @@
 	return &query.Answer{Outcome: query.Failed, Reason: "played"}, nil
 }
 
-func (d *decidedBy) Written(*query.Answer, time.Time) {}
+func (d *decidedBy) RecordWritten(*query.Answer, time.Time) {}
 
 // always is what a gateway asks of the instance beside its view.
 type always struct{ *fixture }
--- a/entry/hosted/hosted.go
+++ b/entry/hosted/hosted.go
@@ -50,7 +50,7 @@
 
 // Leaves is the leaf protocol with its connections.
 type Leaves interface {
-	executor.Leaves
+	executor.LeafClient
 	// Apply drops the connections of leaves that are not named.
 	Apply(targets []leafclient.Target)
 	// Opened is the number of connections opened so far and open now.
@@ -165,9 +165,9 @@
 		Zone: c.Zone, Fleet: n.fleet, Views: n, Lifecycle: &n.lifecycle, Peers: n.peers, Power: c.Power, Log: log, SyncNow: n.control.syncNow,
 	})
 	n.executor = executor.New(executor.Config{
-		Leaves: n.leaves, LeafObserver: n.control, Log: log, Metrics: n.metrics, Policies: hostedPolicies,
+		LeafClient: n.leaves, LeafObserver: n.control, Log: log, Metrics: n.metrics, Policies: hostedPolicies,
 		Zone: c.Zone, Seed: uint64(time.Now().UnixNano()), FleetKey: c.PeerKey,
-		RepeatSlack: n.fleet.repeatSlack, Gatherer: n.forwarder, Ages: n.ages, LostToSuspect: lostToSuspect, QuarantineFor: quarantineFor,
+		RepeatSlackShare: n.fleet.repeatSlack, Gatherer: n.forwarder, Ages: n.ages, SuspectAfterLosses: lostToSuspect, QuarantineDuration: quarantineFor,
 	})
 	newCombiner, err := plugin.Combiners.Get(combinerName)
 	if err != nil {
--- a/entry/hosted/publish.go
+++ b/entry/hosted/publish.go
@@ -30,7 +30,7 @@
 // view, and the executor knows it, before any query does.
 func (n *Node) publish(v *view.View, l catalog.Limits) {
 	n.leaves.Apply(targets(v, n.fleet.transient))
-	n.executor.Follow(v)
+	n.executor.SetView(v)
 	n.limits.Store(&l)
 	n.view.Store(v)
 	n.lifecycle.Serve()
--- a/entry/hosted/stop.go
+++ b/entry/hosted/stop.go
@@ -28,16 +28,16 @@
 	begin := time.Now()
 	grace := n.tunables.Load().Grace
 	n.lifecycle.Set(lifecycle.Leaving)
-	log.Info("leaving: still serving until the balancer has let go", "queries", n.executor.Running())
+	log.Info("leaving: still serving until the balancer has let go", "queries", n.executor.QueriesInFlight())
 	most := time.Duration(leaveShare * float64(grace))
 	sleep(ctx, min(leastLeave, most))
 	n.lifecycle.WaitQuiet(ctx, most-time.Since(begin))
 	n.lifecycle.Set(lifecycle.Refusing)
-	log.Info("finishing what is in flight", "queries", n.executor.Running(), "after", time.Since(begin))
+	log.Info("finishing what is in flight", "queries", n.executor.QueriesInFlight(), "after", time.Since(begin))
 	finish, cancel := context.WithTimeout(ctx, time.Duration(finishShare*float64(grace))-time.Since(begin))
 	defer cancel()
 	if err := n.executor.Wait(finish); err != nil {
-		log.Error("requests were still in flight at the end", "queries", n.executor.Running())
+		log.Error("requests were still in flight at the end", "queries", n.executor.QueriesInFlight())
 	}
 	sleep(ctx, min(flushTime, time.Duration(finishShare*float64(grace))-time.Since(begin)))
 	log.Info("stopped", "after", time.Since(begin))
--- a/entry/hosted/sync.go
+++ b/entry/hosted/sync.go
@@ -51,7 +51,7 @@
 	now := time.Now()
 	n.slow.Add(n.executor.Observations(), now)
 	if slow := n.slow.Slow(now); len(slow) > 0 {
-		n.executor.ReportSlow(slow)
+		n.executor.ApplySlowLeaves(slow)
 	}
 }
 
--- a/entry/node/drain.go
+++ b/entry/node/drain.go
@@ -33,11 +33,11 @@
 	log.Info("leaving: still serving until the balancer has let go")
 	n.lifecycle.WaitQuiet(ctx, n.settings.Limits.DrainTime)
 	n.lifecycle.Set(lifecycle.Refusing)
-	log.Info("finishing what is in flight", "queries", n.executor.Running())
+	log.Info("finishing what is in flight", "queries", n.executor.QueriesInFlight())
 	finish, cancel := context.WithTimeout(ctx, n.longestDeadline()+finishTime)
 	defer cancel()
 	if err := n.executor.Wait(finish); err != nil {
-		log.Error("requests were still in flight at the end", "queries", n.executor.Running())
+		log.Error("requests were still in flight at the end", "queries", n.executor.QueriesInFlight())
 	}
 	flush, cancelFlush := context.WithTimeout(ctx, flushTime)
 	defer cancelFlush()
--- a/entry/node/node.go
+++ b/entry/node/node.go
@@ -88,11 +88,11 @@
 		return nil, err
 	}
 	n.executor = executor.New(executor.Config{
-		Leaves: n.leaves, LeafObserver: n.control, Log: n.log, Metrics: n.metrics, Policies: policies(s.Policy),
+		LeafClient: n.leaves, LeafObserver: n.control, Log: n.log, Metrics: n.metrics, Policies: policies(s.Policy),
 		Zone: s.Zone, Seed: uint64(time.Now().UnixNano()), FleetKey: s.Peer.Key, Ledger: n.ledger,
 		MaxQueries: s.Limits.Queries, MaxQueue: s.Limits.Queue,
 	})
-	n.prober = probe.New(probe.Config{Leaves: n.leaves, Learner: n.executor, View: n.View, Warmed: func() { n.warmed.Store(true) }})
+	n.prober = probe.New(probe.Config{LeafClient: n.leaves, StatusRecorder: n.executor, View: n.View, OnWarmed: func() { n.warmed.Store(true) }})
 	if err := n.newServers(); err != nil {
 		return nil, err
 	}
@@ -106,7 +106,7 @@
 // view, and the executor knows it, before any query does.
 func (n *Node) publish(v *view.View) {
 	n.leaves.Apply(probe.Targets(v))
-	n.executor.Follow(v)
+	n.executor.SetView(v)
 	n.view.Store(v)
 	n.lifecycle.Serve()
 }
--- a/entry/node/status.go
+++ b/entry/node/status.go
@@ -46,7 +46,7 @@
 	s := Status{
 		Instance: n.settings.Instance, Zone: n.settings.Zone, Version: Version,
 		Phase: phaseNames[n.lifecycle.Get()], UptimeS: int64(time.Since(n.started).Seconds()),
-		Queries: n.executor.Running(), LogDrops: n.log.Dropped(), Leaves: []LeafStatus{},
+		Queries: n.executor.QueriesInFlight(), LogDrops: n.log.Dropped(), Leaves: []LeafStatus{},
 		Quarantine: len(n.executor.Quarantine()),
 	}
 	v := n.View()
--- a/entry/probe/probe.go
+++ b/entry/probe/probe.go
@@ -28,26 +28,26 @@
 	concurrency  = 32
 )
 
-// Leaves opens connections and asks for health; *leafclient.Client does it.
-type Leaves interface {
+// LeafClient opens connections and asks for health; *leafclient.Client does it.
+type LeafClient interface {
 	Warm(ctx context.Context, t leafclient.Target, n int) (*leafapi.Health, error)
 	Health(ctx context.Context, t leafclient.Target) (*leafapi.Health, error)
 }
 
-// Learner keeps what leaves say; *executor.Executor does it.
-type Learner interface {
+// StatusRecorder keeps what leaves say; *executor.Executor does it.
+type StatusRecorder interface {
 	// LastReply is when the leaf last said something, or the zero time.
 	LastReply(leafID string) time.Time
-	Learn(leafID string, said leafclient.Said)
+	RecordStatus(leafID string, said leafclient.Said)
 }
 
 // Config is what a prober needs.
 type Config struct {
-	Leaves  Leaves
-	Learner Learner
-	View    func() *view.View // nil before there is a document
-	// Warmed is called once after the first view's leaves were warmed.
-	Warmed func()
+	LeafClient     LeafClient
+	StatusRecorder StatusRecorder
+	View           func() *view.View // nil before there is a document
+	// OnWarmed is called once after the first view's leaves were warmed.
+	OnWarmed func()
 }
 
 // Prober warms and asks leaves.
@@ -106,22 +106,22 @@
 		}
 		if p.warm[leaf.ID] < leaf.Connections {
 			p.warm[leaf.ID] = leaf.Connections
-			g.Go(func() error { p.ask(ctx, target, p.config.Leaves.Warm, target.Connections); return nil })
+			g.Go(func() error { p.ask(ctx, target, p.config.LeafClient.Warm, target.Connections); return nil })
 			continue
 		}
-		if now.Sub(p.config.Learner.LastReply(leaf.ID)) > quietAfter {
+		if now.Sub(p.config.StatusRecorder.LastReply(leaf.ID)) > quietAfter {
 			g.Go(func() error { p.ask(ctx, target, p.health, 1); return nil })
 		}
 	}
 	_ = g.Wait() // no function returns an error: an unheard leaf is no fault here
-	if first && p.config.Warmed != nil {
-		p.config.Warmed()
+	if first && p.config.OnWarmed != nil {
+		p.config.OnWarmed()
 	}
 }
 
 // health asks one question over one connection.
 func (p *Prober) health(ctx context.Context, t leafclient.Target, _ int) (*leafapi.Health, error) {
-	return p.config.Leaves.Health(ctx, t)
+	return p.config.LeafClient.Health(ctx, t)
 }
 
 // ask puts one question and keeps the answer.
@@ -132,7 +132,7 @@
 	if err != nil || h.ID != t.ID {
 		return // nothing is learnt of a leaf that doesn't answer as itself
 	}
-	p.config.Learner.Learn(t.ID, leafclient.Said{Versions: h.Versions, Draining: h.Draining, Born: h.Born})
+	p.config.StatusRecorder.RecordStatus(t.ID, leafclient.Said{Versions: h.Versions, Draining: h.Draining, Born: h.Born})
 }
 
 // TargetOf says how a leaf of the view is reached.
--- a/entry/probe/probe_test.go
+++ b/entry/probe/probe_test.go
@@ -60,7 +60,7 @@
 	return f.heard[id]
 }
 
-func (f *fake) Learn(id string, said leafclient.Said) {
+func (f *fake) RecordStatus(id string, said leafclient.Said) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.heard[id] = time.Now()
@@ -88,7 +88,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		var mu sync.Mutex
 		var current *view.View
-		p := New(Config{Leaves: f, Learner: f, View: func() *view.View {
+		p := New(Config{LeafClient: f, StatusRecorder: f, View: func() *view.View {
 			mu.Lock()
 			defer mu.Unlock()
 			return current
@@ -133,7 +133,7 @@
 		set(testView(1, ""))
 		for range 20 {
 			time.Sleep(500 * time.Millisecond)
-			f.Learn("a", leafclient.Said{Versions: []uint64{7}}) // by queries
+			f.RecordStatus("a", leafclient.Said{Versions: []uint64{7}}) // by queries
 		}
 		_, busy := f.counts("a")
 		_, quiet := f.counts("b")
