--- a/entry/executor/admit.go
+++ b/entry/executor/admission.go
@@ -21,7 +21,7 @@
 func (e *Executor) admit(r *run) *RefusedError {
 	now := time.Now()
 	if !now.Before(r.request.Deadline) {
-		return refuse(RefusedDeadline, leastRetryAfter, "the deadline has passed")
+		return refuse(RefusedDeadline, minRetryAfter, "the deadline has passed")
 	}
 	if r.request.OnlyShards != nil {
 		return nil
@@ -30,7 +30,7 @@
 	for _, upstream := range r.request.Service.Upstreams {
 		fitters = append(fitters, r.pool(upstream))
 	}
-	left := r.valueLeft(now)
+	left := r.timeToFullValue(now)
 	a := r.service.admission
 	a.mu.Lock()
 	decision := a.policy.Admit(dispatch.QueryRequest{
@@ -42,37 +42,37 @@
 		return nil
 	}
 	e.config.Log.Decide(telemetry.Decision{
-		Part: partQuery, What: "refuse", Query: r.stamp, Request: r.request.name(), Why: "too few parts would finish in time",
+		Part: prefixQuery, What: "refuse", Query: r.stamp, Request: r.request.callerRequestID(), Why: "too few parts would finish in time",
 		More: []any{"service", r.request.Service.Config.Name, "fit", decision.ServableShare, "yields", decision.YieldedToUrgent, "left", left, "retry_after", decision.RetryAfter},
 	})
 	return refuse(RefusedOverloaded, decision.RetryAfter, "too few parts would finish in time")
 }
 
-// valueLeft is the time in which an answer has its full value, or the time to the
+// timeToFullValue is the time in which an answer has its full value, or the time to the
 // deadline where that has passed or there is no objective.
-func (r *run) valueLeft(now time.Time) time.Duration {
-	if left := r.due.Sub(now); left > 0 {
+func (r *run) timeToFullValue(now time.Time) time.Duration {
+	if left := r.fullValueUntil.Sub(now); left > 0 {
 		return left
 	}
 	return r.request.Deadline.Sub(now)
 }
 
-// waitedShare of the time in which an answer has its full value, spent in a queue here,
+// minLateWaitShare of the time in which an answer has its full value, spent in a queue here,
 // shows that an answer was late for the load: it is the least wait that admission aims at.
-const waitedShare = 0.05
+const minLateWaitShare = 0.05
 
-// tellAdmission tells the admission policy how an admitted query ended.
-func (r *run) tellAdmission(answer *query.Answer) {
+// reportToAdmission tells the admission policy how an admitted query ended.
+func (r *run) reportToAdmission(answer *query.Answer) {
 	if r.request.OnlyShards != nil {
 		return
 	}
 	now := time.Now()
 	config := r.request.Service.Config
 	useful := answer.Share > 0 && answer.Share >= config.LeastCoverage
-	late := !useful && shortOfTime(answer)
-	if !r.due.IsZero() {
+	late := !useful && missesForLackOfTime(answer)
+	if !r.fullValueUntil.IsZero() {
 		useful = useful && !now.After(r.request.Start.Add(config.Objective))
-		late = !useful && (late || time.Duration(r.waited.Load()) > time.Duration(waitedShare*float64(config.Objective)))
+		late = !useful && (late || time.Duration(r.longestWait.Load()) > time.Duration(minLateWaitShare*float64(config.Objective)))
 	}
 	a := r.service.admission
 	a.mu.Lock()
@@ -80,19 +80,19 @@
 	a.policy.RecordAnswer(useful, late, now)
 }
 
-// sawWait notes for how long an attempt waited in a queue here.
-func (r *run) sawWait(d time.Duration) {
+// recordQueueWait notes for how long an attempt waited in a queue here.
+func (r *run) recordQueueWait(d time.Duration) {
 	for {
-		longest := r.waited.Load()
-		if int64(d) <= longest || r.waited.CompareAndSwap(longest, int64(d)) {
+		longest := r.longestWait.Load()
+		if int64(d) <= longest || r.longestWait.CompareAndSwap(longest, int64(d)) {
 			return
 		}
 	}
 }
 
-// shortOfTime reports whether parts are missing for lack of time, and not
+// missesForLackOfTime reports whether parts are missing for lack of time, and not
 // because no leaf serves them.
-func shortOfTime(answer *query.Answer) bool {
+func missesForLackOfTime(answer *query.Answer) bool {
 	for _, m := range answer.Missing {
 		switch query.DeclineReason(m.Reason) {
 		case query.ReasonDeadline, query.ReasonOverloaded:
--- a/entry/executor/errors.go
+++ b/entry/executor/errors.go
@@ -41,7 +41,7 @@
 }
 
 // reasons maps the kernel's reasons to this layer's.
-var reasons = map[query.DeclineReason]RefusedReason{
+var refusedReasons = map[query.DeclineReason]RefusedReason{
 	query.ReasonOverloaded:   RefusedOverloaded,
 	query.ReasonDeadline:     RefusedDeadline,
 	query.ReasonQuarantined:  RefusedQuarantined,
@@ -53,13 +53,13 @@
 }
 
 // refusal converts the machine's answer of a query that provably did not run.
-func refusal(a *query.Answer) *RefusedError {
-	reason, ok := reasons[query.DeclineReason(a.Reason)]
+func refusalFromAnswer(a *query.Answer) *RefusedError {
+	reason, ok := refusedReasons[query.DeclineReason(a.Reason)]
 	if !ok {
 		reason = RefusedUnavailable
 	}
-	return refuse(reason, max(a.RetryAfter, leastRetryAfter), "no part of the request was run: "+a.Reason)
+	return refuse(reason, max(a.RetryAfter, minRetryAfter), "no part of the request was run: "+a.Reason)
 }
 
 // leastRetryAfter is the shortest time after which coming back makes sense.
-const leastRetryAfter = 50 * time.Millisecond
+const minRetryAfter = 50 * time.Millisecond
--- a/entry/executor/exchange.go
+++ b/entry/executor/exchange.go
@@ -14,41 +14,41 @@
 
 // Prefixes of decision lines.
 const (
-	partDispatch = "dispatch"
-	partQuery    = "query"
+	prefixDispatch = "dispatch"
+	prefixQuery    = "query"
 )
 
 // exchange runs one dispatched attempt to its end and reports it to the query
 // and to the pool.
-func (e *Executor) exchange(p *pool, s start) {
+func (e *Executor) exchange(p *pool, s dispatchedAttempt) {
 	a := s.attempt
 	defer a.cancel()
-	e.decide(a, telemetry.Decision{Part: partDispatch, What: "dispatch", Leaf: s.leaf.ID, Why: s.action.Reason, Took: s.action.QueueTime, Class: telemetry.Routine})
-	a.run.sawWait(s.action.QueueTime)
+	e.logDecision(a, telemetry.Decision{Part: prefixDispatch, What: "dispatch", Leaf: s.leaf.ID, Why: s.action.Reason, Took: s.action.QueueTime, Class: telemetry.Routine})
+	a.run.recordQueueWait(s.action.QueueTime)
 	leaf := a.leafIndex(s.leaf.ID)
 	// The deadline is looked at again right before the bytes go: an instance
 	// that was paused since the decision must not start stale work.
 	if s.ctx.Err() != nil {
-		p.finish(a, dispatch.OutcomeCancelled, 0)
+		p.finishAttempt(a, dispatch.OutcomeCancelled, 0)
 		a.run.mail.put(query.NotSent{Attempt: a.offer.Attempt, Reason: query.ReasonDeadline})
 		return
 	}
 	// A request is only suspected of breaking a leaf that was up when it was
 	// sent: a leaf that breaks whatever comes is lost, and proves nothing.
-	up := e.leafState.up(s.leaf.ID)
+	up := e.leafState.isUp(s.leaf.ID)
 	target := leafclient.Target{ID: s.leaf.ID, Name: s.leaf.Name, Address: s.leaf.Address, Connections: s.leaf.Connections, DialCost: s.dialCost}
 	request := &leafclient.Request{ID: a.run.id, Attempt: a.token, Version: a.offer.Version, Range: a.offer.Part.Range, Body: a.run.request.Body, Passed: a.run.request.Forwarded}
-	reply, err := e.config.LeafClient.Run(s.ctx, target, request, func() bool { return a.run.maySend(a, leaf) })
+	reply, err := e.config.LeafClient.Run(s.ctx, target, request, func() bool { return a.run.confirmSend(a, leaf) })
 	if err != nil {
 		a.run.service.metrics.Attempt(attemptOutcome(s.ctx, err), s.action.QueueTime)
-		e.failed(s.ctx, p, a, exchanged{leaf: leaf, up: up, err: err})
+		e.handleFailure(s.ctx, p, a, failedExchange{leaf: leaf, up: up, err: err})
 		return
 	}
-	a.run.sawRun()
-	a.run.sawReply(a, time.Since(a.started))
+	a.run.recordCompletion()
+	a.run.recordReplyTime(a, time.Since(a.started))
 	e.RecordStatus(s.leaf.ID, reply.Said)
 	a.run.service.metrics.Attempt(telemetry.AttemptReply, s.action.QueueTime)
-	p.finish(a, dispatch.OutcomeReply, reply.Service)
+	p.finishAttempt(a, dispatch.OutcomeReply, reply.Service)
 	a.run.mail.put(query.Reply{Attempt: a.offer.Attempt, Leaf: leaf, Version: reply.Version, Ranges: reply.Ranges, Body: reply.Body, Versions: reply.Versions, Attachment: reply.Carried})
 }
 
@@ -71,7 +71,7 @@
 }
 
 // exchanged is an exchange that brought no reply.
-type exchanged struct {
+type failedExchange struct {
 	leaf int  // index in the attempt's view
 	up   bool // the leaf was up when the request was sent
 	err  error
@@ -79,7 +79,7 @@
 
 // failed converts the client's error to events. Only a dial error or the
 // leaf's own decline counts as not run.
-func (e *Executor) failed(ctx context.Context, p *pool, a *attempt, x exchanged) {
+func (e *Executor) handleFailure(ctx context.Context, p *pool, a *attempt, x failedExchange) {
 	leaf, err := x.leaf, x.err
 	var dial *leafclient.DialError
 	var declined *leafclient.DeclinedError
@@ -89,14 +89,14 @@
 	if ctx.Err() != nil {
 		class = telemetry.Routine // it was withdrawn: another attempt answered, or the query is over
 	}
-	e.decide(a, telemetry.Decision{Part: partDispatch, What: "attempt failed", Leaf: a.leafID, Why: why(err), Took: time.Since(a.started), Class: class})
+	e.logDecision(a, telemetry.Decision{Part: prefixDispatch, What: "attempt failed", Leaf: a.leafID, Why: failureCause(err), Took: time.Since(a.started), Class: class})
 	switch {
 	case errors.As(err, &dial):
 		outcome := dispatch.OutcomeDialFailed
 		if ctx.Err() != nil {
 			outcome = dispatch.OutcomeCancelled
 		}
-		p.finish(a, outcome, 0)
+		p.finishAttempt(a, outcome, 0)
 		a.run.mail.put(query.NotSent{Attempt: id, Leaf: leaf, Reason: query.ReasonDialFailed})
 	case errors.As(err, &declined):
 		e.RecordStatus(declined.Leaf, declined.Said)
@@ -104,22 +104,22 @@
 		if declined.Reason == leafapi.DeclineOverloaded {
 			outcome = dispatch.OutcomeShed
 		}
-		p.finish(a, outcome, 0)
+		p.finishAttempt(a, outcome, 0)
 		a.run.mail.put(query.Declined{Attempt: id, Leaf: leaf, Reason: query.DeclineReason(declined.Reason), Versions: declined.Versions, Ranges: declined.Ranges})
 	case errors.As(err, &broken):
 		closed := broken.Cause == leafclient.CauseClosed
 		lost := broken.Cause == leafclient.CauseLost
 		if closed || lost {
-			e.leafState.sawBreak(a.leafID, time.Now())
+			e.leafState.recordBreak(a.leafID, time.Now())
 		}
 		if broken.Carried != nil {
-			a.run.sawRun()
+			a.run.recordCompletion()
 		}
-		p.finish(a, brokenOutcome(broken.Cause), 0)
-		crash := closed && x.up || lost && e.lost(a)
+		p.finishAttempt(a, brokenOutcome(broken.Cause), 0)
+		crash := closed && x.up || lost && e.recordLeafLoss(a)
 		a.run.mail.put(query.Broken{Attempt: id, Leaf: leaf, Cause: string(broken.Cause), Crash: crash, Failure: broken.Carried})
 	default:
-		p.finish(a, dispatch.OutcomeBroken, 0)
+		p.finishAttempt(a, dispatch.OutcomeBroken, 0)
 		a.run.mail.put(query.Broken{Attempt: id, Leaf: leaf, Cause: "internal"})
 	}
 }
@@ -137,7 +137,7 @@
 }
 
 // why is the short cause of an error, without addresses.
-func why(err error) string {
+func failureCause(err error) string {
 	var declined *leafclient.DeclinedError
 	var broken *leafclient.BrokenError
 	switch {
@@ -152,7 +152,7 @@
 
 // RecordStatus keeps what a leaf said of itself. It implements probe.StatusRecorder.
 func (e *Executor) RecordStatus(leafID string, said leafclient.Said) {
-	if e.leafState.saw(leafID, said, time.Now()) {
+	if e.leafState.recordStatus(leafID, said, time.Now()) {
 		e.config.LeafObserver.ObserveStart(leafID, said.Born)
 	}
 	if said.Draining {
@@ -161,15 +161,15 @@
 }
 
 // LastReply is when the leaf last said something, or the zero time.
-func (e *Executor) LastReply(leafID string) time.Time { return e.leafState.lastReplyOf(leafID) }
+func (e *Executor) LastReply(leafID string) time.Time { return e.leafState.lastReplyTime(leafID) }
 
 // decide logs a decision about an attempt.
-func (e *Executor) decide(a *attempt, d telemetry.Decision) {
+func (e *Executor) logDecision(a *attempt, d telemetry.Decision) {
 	if !e.config.Log.DecisionsOn() {
 		return
 	}
 	d.Query = a.ticket.Query
-	d.Request = a.run.request.name()
+	d.Request = a.run.request.callerRequestID()
 	d.Shard = a.shardName()
 	e.config.Log.Decide(d)
 }
--- a/entry/executor/execute.go
+++ b/entry/executor/execute.go
@@ -17,18 +17,18 @@
 }
 
 // refusedLabel is the metrics' outcome of a refusal.
-const refusedLabel = "not_run"
+const refusedOutcome = "not_run"
 
 // Execute runs a request to its answer. The error, if any, is a *RefusedError:
 // the request provably ran nowhere.
 func (e *Executor) Execute(ctx context.Context, req *Request) (*Response, error) {
 	var resp *Response
-	err := e.counted(req, func() (ending, error) {
+	err := e.runMeasured(req, func() (outcomeLabels, error) {
 		var err error
 		if resp, err = e.execute(ctx, req); err != nil {
-			return ending{}, err
+			return outcomeLabels{}, err
 		}
-		return ending{resp.Answer.Outcome, resp.Answer.Reason}, nil
+		return outcomeLabels{resp.Answer.Outcome, resp.Answer.Reason}, nil
 	})
 	if err != nil {
 		return nil, err
@@ -42,12 +42,12 @@
 // error, if any, is a *RefusedError.
 func (e *Executor) Forward(ctx context.Context, req *Request) (*query.Answer, error) {
 	var answer *query.Answer
-	err := e.counted(req, func() (ending, error) {
+	err := e.runMeasured(req, func() (outcomeLabels, error) {
 		var err error
 		if _, answer, err = e.fanOut(ctx, req); err != nil {
-			return ending{}, err
+			return outcomeLabels{}, err
 		}
-		return ending{string(answer.Outcome), answer.Reason}, nil
+		return outcomeLabels{string(answer.Outcome), answer.Reason}, nil
 	})
 	if err != nil {
 		return nil, err
@@ -56,33 +56,33 @@
 }
 
 // ending is how a query ended, for the metrics.
-type ending struct{ outcome, reason string }
+type outcomeLabels struct{ outcome, reason string }
 
 // endingOf is that of a query that was refused.
-func endingOf(err error) ending {
+func refusalLabels(err error) outcomeLabels {
 	var refused *RefusedError
 	if errors.As(err, &refused) {
-		return ending{refusedLabel, string(refused.Reason)}
+		return outcomeLabels{refusedOutcome, string(refused.Reason)}
 	}
-	return ending{refusedLabel, "internal"}
+	return outcomeLabels{refusedOutcome, "internal"}
 }
 
 // counted runs a query within the bound of those in progress and meters it.
-func (e *Executor) counted(req *Request, run func() (ending, error)) error {
+func (e *Executor) runMeasured(req *Request, run func() (outcomeLabels, error)) error {
 	e.inFlight.Add(1)
 	defer e.inFlight.Done()
-	running := e.running.Add(1)
-	defer e.running.Add(-1)
+	running := e.queriesInFlight.Add(1)
+	defer e.queriesInFlight.Add(-1)
 	meter := e.service(req.Service).metrics
-	var end ending
+	var end outcomeLabels
 	var err error
 	if e.config.MaxQueries > 0 && running > int64(e.config.MaxQueries) {
-		err = refuse(RefusedOverloaded, jitter(leastRetryAfter), "too many queries are in progress at this instance")
+		err = refuse(RefusedOverloaded, jitter(minRetryAfter), "too many queries are in progress at this instance")
 	} else {
 		end, err = run()
 	}
 	if err != nil {
-		end = endingOf(err)
+		end = refusalLabels(err)
 	}
 	meter.Observe(end.outcome, end.reason, time.Since(req.Start))
 	return err
@@ -94,18 +94,18 @@
 // execute claims the key of a non-idempotent request before anything else.
 func (e *Executor) execute(ctx context.Context, req *Request) (*Response, error) {
 	if req.Service.Config.Idempotent {
-		return e.answered(ctx, req)
+		return e.fanOutAndConvert(ctx, req)
 	}
-	return e.atMostOnce(ctx, req)
+	return e.executeAtMostOnce(ctx, req)
 }
 
 // answered runs the query and writes its answer in the callers' terms.
-func (e *Executor) answered(ctx context.Context, req *Request) (*Response, error) {
+func (e *Executor) fanOutAndConvert(ctx context.Context, req *Request) (*Response, error) {
 	r, answer, err := e.fanOut(ctx, req)
 	if err != nil {
 		return nil, err
 	}
-	return &Response{Answer: r.convert(answer)}, nil
+	return &Response{Answer: r.callerAnswer(answer)}, nil
 }
 
 // fanOut runs the query, unless its fingerprint is in quarantine.
@@ -116,43 +116,43 @@
 		return nil, nil, refuse(RefusedQuarantined, decision.RetryAfter, "earlier runs of this request broke the leaves that ran them")
 	}
 	r := e.newRun(ctx, req, fingerprint, decision.Mode)
-	answer, err := r.finish()
+	answer, err := r.runToAnswer()
 	return r, answer, err
 }
 
 // newRun makes the query's machine and its place in the order of work.
 func (e *Executor) newRun(ctx context.Context, req *Request, fingerprint string, mode quarantine.Mode) *run {
 	r := &run{
-		executor: e, request: req, id: newToken(), secret: newToken(), stamp: e.nextStamp(req.Start),
+		executor: e, request: req, id: newToken(), tokenSecret: newToken(), stamp: e.nextStamp(req.Start),
 		fingerprint: fingerprint, mail: newMailbox(), ctx: ctx,
-		attempts: make(map[query.AttemptID]*attempt), gathering: make(map[query.AttemptID]*gathering),
+		attempts: make(map[query.AttemptID]*attempt), offeredGroups: make(map[query.AttemptID]*offeredGroup),
 		view: req.View, pools: make(map[int]*pool),
-		versions: &versions{state: e.leafState, view: req.View},
+		versions: &versionSource{state: e.leafState, view: req.View},
 	}
-	r.suspect.Store(mode == quarantine.ModeSuspect)
-	before := e.margins.before(req.Service.Config.Objective, req.way())
-	r.due = due(req, before)
+	r.suspected.Store(mode == quarantine.ModeSuspect)
+	before := e.ownDelay.settleMargin(req.Service.Config.Objective, req.networkDelay())
+	r.fullValueUntil = fullValueUntil(req, before)
 	r.service = e.service(req.Service)
 	r.repetition = r.service.repetition.Load()
-	r.groups = e.plan(req, mode)
+	r.groups = e.planGroups(req, mode)
 	r.machine = query.New(query.Config{
-		Groups: parts(r.groups), OnlyShards: req.OnlyShards,
+		Groups: queryGroups(r.groups), OnlyShards: req.OnlyShards,
 		View: req.View, Service: req.Service, Start: req.Start, Deadline: req.Deadline,
 		Versions:     r.versions,
 		Budget:       r.repetition,
 		ShardBudget:  r,
 		SettleMargin: before,
-		HedgeAfter:   r.repetition.hedgeAfter(r),
+		HedgeAfter:   r.repetition.hedgeDelay(r),
 		Canary:       mode == quarantine.ModeCanary,
 		Suspect:      mode == quarantine.ModeSuspect,
-		Seed:         seed(fingerprint),
+		Seed:         canarySeed(fingerprint),
 	})
 	return r
 }
 
 // due is when an answer must be settled to have its full value; zero: there is no
 // objective, and it has until the deadline.
-func due(req *Request, before time.Duration) time.Time {
+func fullValueUntil(req *Request, before time.Duration) time.Time {
 	if req.Service.Config.Objective <= 0 {
 		return time.Time{}
 	}
@@ -160,7 +160,7 @@
 }
 
 // finish drives the query to its answer; one that says "not run" is an error.
-func (r *run) finish() (*query.Answer, error) {
+func (r *run) runToAnswer() (*query.Answer, error) {
 	work, cancel := context.WithDeadline(r.ctx, r.request.Deadline)
 	defer cancel() // ends the exchanges that the answer no longer needs
 	r.work = work
@@ -169,18 +169,18 @@
 	}
 	r.repetition.deposit(r.request.Service.Shards)
 	r.executor.register(r)
-	answer := r.drive()
+	answer := r.driveMachine()
 	r.executor.unregister(r)
-	r.account(answer)
-	r.tellAdmission(answer)
+	r.recordWork(answer)
+	r.reportToAdmission(answer)
 	if answer.Outcome == query.NotRun {
-		return nil, refusal(answer)
+		return nil, refusalFromAnswer(answer)
 	}
 	return answer, nil
 }
 
 // account counts what the query cost.
-func (r *run) account(a *query.Answer) {
+func (r *run) recordWork(a *query.Answer) {
 	m := r.service.metrics
 	m.Sent.Inc(int64(a.Sent))
 	m.Covered.Inc(int64(len(a.Results)))
@@ -192,7 +192,7 @@
 }
 
 // convert writes the machine's answer in the callers' terms.
-func (r *run) convert(a *query.Answer) callerapi.Answer {
+func (r *run) callerAnswer(a *query.Answer) callerapi.Answer {
 	out := callerapi.Answer{
 		Request: r.id, Outcome: string(a.Outcome), Version: a.Version, Share: a.Share, Reason: a.Reason,
 		Covered: make([]callerapi.Part, 0, len(a.Covered)),
@@ -201,18 +201,18 @@
 		Work:    callerapi.Work{Sent: a.Sent, Hedges: a.Hedges, Retries: a.Retries},
 	}
 	for _, p := range a.Covered {
-		out.Covered = append(out.Covered, r.part(p))
+		out.Covered = append(out.Covered, r.callerPart(p))
 	}
 	for _, m := range a.Missing {
-		out.Missing = append(out.Missing, callerapi.Missing{Part: r.part(m.Part), Reason: missing(m)})
+		out.Missing = append(out.Missing, callerapi.Missing{Part: r.callerPart(m.Part), Reason: missingReason(m)})
 	}
 	for _, res := range a.Results {
-		out.Results = append(out.Results, callerapi.Result{Part: r.part(res.Part), More: res.MoreRanges, Body: res.Body})
+		out.Results = append(out.Results, callerapi.Result{Part: r.callerPart(res.Part), More: res.MoreRanges, Body: res.Body})
 	}
 	return out
 }
 
 // part names a part by its upstream.
-func (r *run) part(p query.Part) callerapi.Part {
+func (r *run) callerPart(p query.Part) callerapi.Part {
 	return callerapi.Part{Upstream: r.request.View.Upstreams[p.Upstream].Name, Range: p.Range}
 }
--- a/entry/executor/executor.go
+++ b/entry/executor/executor.go
@@ -55,8 +55,8 @@
 	OnInterim  func(*query.Answer)
 }
 
-// way is Way, or what is assumed of it.
-func (r *Request) way() time.Duration {
+// networkDelay is Way, or what is assumed of it.
+func (r *Request) networkDelay() time.Duration {
 	if r.NetworkDelay <= 0 {
 		return margin.DefaultNetworkDelay
 	}
@@ -102,19 +102,19 @@
 
 // Executor runs queries. It is safe for concurrent use.
 type Executor struct {
-	config     Config
-	leafState  *leafState
-	quarantine *quarantineState
-	stamp      atomic.Uint64
-	inFlight   sync.WaitGroup
-	running    atomic.Int64
+	config          Config
+	leafState       *leafState
+	quarantine      *quarantineState
+	lastStamp       atomic.Uint64
+	inFlight        sync.WaitGroup
+	queriesInFlight atomic.Int64
 
 	mu       sync.RWMutex
 	pools    map[string]*pool         // by upstream name
 	services map[string]*serviceState // by service name
 
-	arrivals *arrivals
-	margins  margins
+	repeatLimiters *repeatLimiters
+	ownDelay       ownDelay
 
 	runsMu sync.Mutex
 	runs   map[*run]struct{}
@@ -123,18 +123,18 @@
 // New makes an executor. The policies must have passed their Check.
 func New(c Config) *Executor {
 	return &Executor{
-		config:     c,
-		leafState:  newLeafState(),
-		quarantine: newQuarantineState(c.FleetKey, c.QuarantineDuration),
-		pools:      make(map[string]*pool),
-		services:   make(map[string]*serviceState),
-		runs:       make(map[*run]struct{}),
-		arrivals:   newArrivals(c.RepeatSlackShare),
+		config:         c,
+		leafState:      newLeafState(),
+		quarantine:     newQuarantineState(c.FleetKey, c.QuarantineDuration),
+		pools:          make(map[string]*pool),
+		services:       make(map[string]*serviceState),
+		runs:           make(map[*run]struct{}),
+		repeatLimiters: newRepeatLimiters(c.RepeatSlackShare),
 	}
 }
 
 // QueriesInFlight is the number of queries in flight.
-func (e *Executor) QueriesInFlight() int64 { return e.running.Load() }
+func (e *Executor) QueriesInFlight() int64 { return e.queriesInFlight.Load() }
 
 // Wait returns when no query is in flight, or with the context's error.
 func (e *Executor) Wait(ctx context.Context) error {
@@ -157,9 +157,9 @@
 func (e *Executor) nextStamp(now time.Time) uint64 {
 	at := uint64(now.UnixNano())
 	for {
-		last := e.stamp.Load()
+		last := e.lastStamp.Load()
 		next := max(at, last+1)
-		if e.stamp.CompareAndSwap(last, next) {
+		if e.lastStamp.CompareAndSwap(last, next) {
 			return next
 		}
 	}
@@ -174,7 +174,7 @@
 	if !ok {
 		p = e.addPool(name, v, upstream)
 	}
-	p.follow(v)
+	p.setView(v)
 	return p
 }
 
@@ -199,7 +199,7 @@
 	runs := slices.Collect(maps.Keys(e.runs))
 	e.runsMu.Unlock()
 	for _, p := range pools {
-		p.follow(v)
+		p.setView(v)
 	}
 	for _, r := range runs {
 		r.mail.put(query.ViewChanged{View: v})
@@ -220,8 +220,8 @@
 	delete(e.runs, r)
 }
 
-// missing is the kernel's reason of a part, for people.
-func missing(m query.Missing) string {
+// missingReason is the kernel's reason of a part, for people.
+func missingReason(m query.Missing) string {
 	if m.Reason == "" {
 		return "no reply in time"
 	}
--- a/entry/executor/gather.go
+++ b/entry/executor/gather.go
@@ -52,29 +52,29 @@
 // Unwrap gives the cause.
 func (e *NotGatheredError) Unwrap() error { return e.Err }
 
-// gathering is one offered group. It is guarded by the run's lock.
-type gathering struct {
+// offeredGroup is one offered group. It is guarded by the run's lock.
+type offeredGroup struct {
 	cancel    context.CancelFunc
 	withdrawn bool
 }
 
-// plan says what others are to gather. What is gathered for another instance is
+// planGroups says what others are to gather. What is gathered for another instance is
 // not handed on again, nor is a request that may break leaves.
-func (e *Executor) plan(req *Request, mode quarantine.Mode) []Group {
+func (e *Executor) planGroups(req *Request, mode quarantine.Mode) []Group {
 	if e.config.Gatherer == nil || req.OnlyShards != nil || mode != quarantine.ModeRun || len(req.Service.Upstreams) != 1 {
 		return nil
 	}
 	upstream := req.Service.Upstreams[0]
-	away, ok := e.pool(req.View, upstream).away(req.View)
+	away, ok := e.pool(req.View, upstream).crossZoneShards(req.View)
 	if !ok || len(away) == 0 {
 		return nil
 	}
 	return e.config.Gatherer.Plan(req, upstream, away)
 }
 
-// away lists the shards that would be asked of leaves in other zones, by their
+// crossZoneShards lists the shards that would be asked of leaves in other zones, by their
 // indexes in the view; false where the pool goes by another view already.
-func (p *pool) away(v *view.View) ([]dispatch.CrossZoneShard, bool) {
+func (p *pool) crossZoneShards(v *view.View) ([]dispatch.CrossZoneShard, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.view != v {
@@ -83,8 +83,8 @@
 	return p.machine.CrossZoneShards(time.Now()), true
 }
 
-// parts are the groups as the kernel knows them.
-func parts(groups []Group) []query.Group {
+// queryGroups are the groups as the kernel knows them.
+func queryGroups(groups []Group) []query.Group {
 	out := make([]query.Group, 0, len(groups))
 	for _, g := range groups {
 		out = append(out, g.Group)
@@ -95,20 +95,20 @@
 // offerGroup has a group gathered. The run's lock is held.
 func (r *run) offerGroup(o query.OfferGroup) {
 	ctx, cancel := context.WithCancel(r.work)
-	g := &gathering{cancel: cancel}
-	r.gathering[o.Attempt] = g
-	go r.gather(ctx, o, g)
+	g := &offeredGroup{cancel: cancel}
+	r.offeredGroups[o.Attempt] = g
+	go r.gatherGroup(ctx, o, g)
 }
 
-// gather carries one group to its end and reports it to the query.
-func (r *run) gather(ctx context.Context, o query.OfferGroup, g *gathering) {
+// gatherGroup carries one group to its end and reports it to the query.
+func (r *run) gatherGroup(ctx context.Context, o query.OfferGroup, g *offeredGroup) {
 	defer g.cancel()
 	group := r.groups[o.Group]
-	sent := func() bool { return r.mayGather(o.Attempt, g) }
+	sent := func() bool { return r.confirmGroupSend(o.Attempt, g) }
 	replies := 0
 	err := r.executor.config.Gatherer.Gather(ctx, r.request, group, sent, func(reply *GatherReply) {
 		replies++
-		r.gathered(o.Attempt, reply)
+		r.recordGathered(o.Attempt, reply)
 	})
 	if outcome := groupOutcome(ctx, err, replies); outcome != "" {
 		r.service.metrics.Group(outcome)
@@ -116,7 +116,7 @@
 	if err == nil {
 		return
 	}
-	r.tellNotGathered(ctx, err)
+	r.logGroupFailure(ctx, err)
 	var not *NotGatheredError
 	if errors.As(err, &not) {
 		r.mail.put(query.NotSent{Attempt: o.Attempt, Reason: query.ReasonNotAccepted})
@@ -141,10 +141,10 @@
 	}
 }
 
-// gathered passes a reply to the query.
-func (r *run) gathered(id query.AttemptID, reply *GatherReply) {
+// recordGathered passes a reply to the query.
+func (r *run) recordGathered(id query.AttemptID, reply *GatherReply) {
 	if len(reply.Ranges) > 0 {
-		r.sawRun()
+		r.recordCompletion()
 	}
 	r.mail.put(query.Gathered{
 		Attempt: id, Version: reply.Version, Ranges: reply.Ranges, HasMore: reply.HasMore,
@@ -152,25 +152,25 @@
 	})
 }
 
-// mayGather tells the machine that another instance may run the group from now on,
+// confirmGroupSend tells the machine that another instance may run the group from now on,
 // and reports whether it may; see maySend.
-func (r *run) mayGather(id query.AttemptID, g *gathering) bool {
+func (r *run) confirmGroupSend(id query.AttemptID, g *offeredGroup) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.answer != nil || g.withdrawn || !time.Now().Before(r.request.Deadline) {
 		return false
 	}
-	r.step(query.Sent{Attempt: id, Leaf: view.NoLeaf})
+	r.handleLocked(query.Sent{Attempt: id, Leaf: view.NoLeaf})
 	return !g.withdrawn
 }
 
-// tellNotGathered logs why a group brought nothing.
-func (r *run) tellNotGathered(ctx context.Context, err error) {
+// logGroupFailure logs why a group brought nothing.
+func (r *run) logGroupFailure(ctx context.Context, err error) {
 	class := telemetry.Failure
 	if ctx.Err() != nil {
 		class = telemetry.Routine // nobody waits for it
 	}
 	r.executor.config.Log.Decide(telemetry.Decision{
-		Part: partQuery, What: "group failed", Query: r.stamp, Request: r.request.name(), Why: err.Error(), Took: time.Since(r.request.Start), Class: class,
+		Part: prefixQuery, What: "group failed", Query: r.stamp, Request: r.request.callerRequestID(), Why: err.Error(), Took: time.Since(r.request.Start), Class: class,
 	})
 }
--- a/entry/executor/leafstate.go
+++ b/entry/executor/leaf_state.go
@@ -15,18 +15,18 @@
 // entry: the index versions they serve, when they last spoke and when they last
 // broke a connection. It guards the kernel's tracker by a lock.
 type leafState struct {
-	mu      sync.Mutex
-	view    *view.View
-	tracker *snapshot.Tracker
-	index   map[string]int // leaf ID to index in view
-	replied map[string]time.Time
-	broke   map[string]time.Time // when a connection to the leaf last broke
-	born    map[string]int64     // the start that the leaf last reported
-	lives   map[string]int       // how often the leaf has served again after a break
+	mu           sync.Mutex
+	view         *view.View
+	tracker      *snapshot.Tracker
+	indexByID    map[string]int // leaf ID to index in view
+	lastReply    map[string]time.Time
+	lastBreak    map[string]time.Time // when a connection to the leaf last broke
+	startMS      map[string]int64     // the start that the leaf last reported
+	incarnations map[string]int       // how often the leaf has served again after a break
 }
 
 func newLeafState() *leafState {
-	return &leafState{replied: make(map[string]time.Time), broke: make(map[string]time.Time), born: make(map[string]int64), lives: make(map[string]int)}
+	return &leafState{lastReply: make(map[string]time.Time), lastBreak: make(map[string]time.Time), startMS: make(map[string]int64), incarnations: make(map[string]int)}
 }
 
 // follow moves the tracker to a newer view.
@@ -37,18 +37,18 @@
 		return
 	}
 	s.view = v
-	s.index = make(map[string]int, len(v.Leaves))
+	s.indexByID = make(map[string]int, len(v.Leaves))
 	for i := range v.Leaves {
-		s.index[v.Leaves[i].ID] = i
+		s.indexByID[v.Leaves[i].ID] = i
 	}
 	gone := func(id string, _ time.Time) bool {
-		_, ok := s.index[id]
+		_, ok := s.indexByID[id]
 		return !ok
 	}
-	maps.DeleteFunc(s.replied, gone)
-	maps.DeleteFunc(s.broke, gone)
-	maps.DeleteFunc(s.born, func(id string, _ int64) bool { return gone(id, time.Time{}) })
-	maps.DeleteFunc(s.lives, func(id string, _ int) bool { return gone(id, time.Time{}) })
+	maps.DeleteFunc(s.lastReply, gone)
+	maps.DeleteFunc(s.lastBreak, gone)
+	maps.DeleteFunc(s.startMS, func(id string, _ int64) bool { return gone(id, time.Time{}) })
+	maps.DeleteFunc(s.incarnations, func(id string, _ int) bool { return gone(id, time.Time{}) })
 	if s.tracker == nil {
 		s.tracker = snapshot.New(v)
 		return
@@ -58,91 +58,91 @@
 
 // saw notes what a leaf says of itself, and returns whether it reported a start that was
 // not known.
-func (s *leafState) saw(leafID string, said leafclient.Said, now time.Time) (started bool) {
+func (s *leafState) recordStatus(leafID string, said leafclient.Said, now time.Time) (started bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	i, ok := s.index[leafID]
+	i, ok := s.indexByID[leafID]
 	if !ok {
 		return false
 	}
-	if s.replied[leafID].Before(s.broke[leafID]) {
-		s.lives[leafID]++
+	if s.lastReply[leafID].Before(s.lastBreak[leafID]) {
+		s.incarnations[leafID]++
 	}
-	s.replied[leafID] = now
+	s.lastReply[leafID] = now
 	if len(said.Versions) > 0 {
 		s.tracker.Observe(i, said.Versions)
 	}
-	if said.Born == 0 || said.Born == s.born[leafID] {
+	if said.Born == 0 || said.Born == s.startMS[leafID] {
 		return false
 	}
-	s.born[leafID] = said.Born
+	s.startMS[leafID] = said.Born
 	return true
 }
 
 // sawBreak notes that a connection to the leaf broke.
-func (s *leafState) sawBreak(leafID string, now time.Time) {
+func (s *leafState) recordBreak(leafID string, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.broke[leafID] = now
+	s.lastBreak[leafID] = now
 }
 
 // life is the leaf's present one, or the one that it has just lost.
-func (s *leafState) life(leafID string) quarantine.Incarnation {
+func (s *leafState) incarnation(leafID string) quarantine.Incarnation {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return quarantine.Incarnation{Leaf: leafID, Number: s.lives[leafID]}
+	return quarantine.Incarnation{Leaf: leafID, Number: s.incarnations[leafID]}
 }
 
 // up reports whether the leaf has answered since it last broke a connection.
-func (s *leafState) up(leafID string) bool {
+func (s *leafState) isUp(leafID string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return !s.replied[leafID].Before(s.broke[leafID])
+	return !s.lastReply[leafID].Before(s.lastBreak[leafID])
 }
 
 // lastReplyOf is when the leaf last said something; the zero time if it has
 // broken a connection since.
-func (s *leafState) lastReplyOf(leafID string) time.Time {
+func (s *leafState) lastReplyTime(leafID string) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.replied[leafID].Before(s.broke[leafID]) {
+	if s.lastReply[leafID].Before(s.lastBreak[leafID]) {
 		return time.Time{}
 	}
-	return s.replied[leafID]
+	return s.lastReply[leafID]
 }
 
 // versions is the leaves' state as one query sees it, by the indexes of its view.
-type versions struct {
+type versionSource struct {
 	state *leafState
 	view  *view.View
 }
 
 // Pin implements query.VersionSource.
-func (s *versions) Pin(service string) uint64 {
+func (s *versionSource) Pin(service string) uint64 {
 	s.state.mu.Lock()
 	defer s.state.mu.Unlock()
 	return s.state.tracker.Pin(service)
 }
 
 // Next implements query.VersionSource.
-func (s *versions) Next(service string, after uint64) uint64 {
+func (s *versionSource) Next(service string, after uint64) uint64 {
 	s.state.mu.Lock()
 	defer s.state.mu.Unlock()
 	return s.state.tracker.Next(service, after)
 }
 
 // Share implements query.VersionSource.
-func (s *versions) Share(service string, version uint64) float64 {
+func (s *versionSource) Share(service string, version uint64) float64 {
 	s.state.mu.Lock()
 	defer s.state.mu.Unlock()
 	return s.state.tracker.Share(service, version)
 }
 
 // Serves implements query.VersionSource.
-func (s *versions) Serves(leaf int, version uint64) (known, serves bool) {
+func (s *versionSource) Serves(leaf int, version uint64) (known, serves bool) {
 	s.state.mu.Lock()
 	defer s.state.mu.Unlock()
-	i, ok := s.index(leaf)
+	i, ok := s.trackerIndex(leaf)
 	if !ok {
 		return false, false
 	}
@@ -150,18 +150,18 @@
 }
 
 // Passed implements query.VersionSource.
-func (s *versions) Passed(leaf int, version uint64) bool {
+func (s *versionSource) Passed(leaf int, version uint64) bool {
 	s.state.mu.Lock()
 	defer s.state.mu.Unlock()
-	i, ok := s.index(leaf)
+	i, ok := s.trackerIndex(leaf)
 	return ok && s.state.tracker.Passed(i, version)
 }
 
 // index turns a leaf's index in the query's view into the tracker's. The lock is held.
-func (s *versions) index(leaf int) (int, bool) {
+func (s *versionSource) trackerIndex(leaf int) (int, bool) {
 	if s.view == s.state.view {
 		return leaf, true
 	}
-	i, ok := s.state.index[s.view.Leaves[leaf].ID]
+	i, ok := s.state.indexByID[s.view.Leaves[leaf].ID]
 	return i, ok
 }
--- a/entry/executor/margins.go
+++ b/entry/executor/own_delay.go
@@ -9,20 +9,20 @@
 )
 
 // margins guards this instance's estimate of its own delay by a lock.
-type margins struct {
-	mu  sync.Mutex
-	own margin.DelayEstimator
+type ownDelay struct {
+	mu        sync.Mutex
+	estimator margin.DelayEstimator
 }
 
 // before is how long before its objective an answer is due, by the way from and to
 // its caller; 0 without an objective.
-func (m *margins) before(objective, way time.Duration) time.Duration {
+func (m *ownDelay) settleMargin(objective, way time.Duration) time.Duration {
 	if objective <= 0 {
 		return 0
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return margin.ForObjective(objective, way, m.own.UpperBound(margin.InitialOwnDelay))
+	return margin.ForObjective(objective, way, m.estimator.UpperBound(margin.InitialOwnDelay))
 }
 
 // RecordWritten learns from an answer that has been written. Only one that was due at
@@ -31,7 +31,7 @@
 	if a == nil || a.SettledAt.IsZero() {
 		return
 	}
-	e.margins.mu.Lock()
-	defer e.margins.mu.Unlock()
-	e.margins.own.Observe(at.Sub(a.SettledAt))
+	e.ownDelay.mu.Lock()
+	defer e.ownDelay.mu.Unlock()
+	e.ownDelay.estimator.Observe(at.Sub(a.SettledAt))
 }
--- a/entry/executor/policies.go
+++ b/entry/executor/policies.go
@@ -84,14 +84,14 @@
 }
 
 // shed reports that work was refused for overload.
-func (r *repetition) shed(now time.Time) {
+func (r *repetition) recordShed(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.policy.RecordShed(now)
 }
 
 // hedgeAfter gives the hedge delay of an upstream, by the indexes of the query's view.
-func (r *repetition) hedgeAfter(q *run) func(int) time.Duration {
+func (r *repetition) hedgeDelay(q *run) func(int) time.Duration {
 	return func(upstream int) time.Duration {
 		p := q.pool(upstream)
 		r.mu.Lock()
--- a/entry/executor/pool.go
+++ b/entry/executor/pool.go
@@ -55,9 +55,9 @@
 	return p
 }
 
-// follow moves the pool to a newer view. A view without the upstream leaves
+// setView moves the pool to a newer view. A view without the upstream leaves
 // the pool at its last view, to finish what it has.
-func (p *pool) follow(v *view.View) {
+func (p *pool) setView(v *view.View) {
 	if v.Sequence <= p.sequence.Load() {
 		return
 	}
@@ -72,19 +72,19 @@
 	})
 }
 
-// offer queues an attempt.
-func (p *pool) offer(a *attempt) {
+// enqueue queues an attempt.
+func (p *pool) enqueue(a *attempt) {
 	known := true
 	p.handle(func() dispatch.Event {
 		var shard int
-		if shard, known = p.shard(a); !known {
+		if shard, known = p.shardIndex(a); !known {
 			return nil
 		}
 		p.attempts[a.ticket] = a
 		return dispatch.Offered{
 			Ticket: a.ticket, Shard: shard, Caller: a.run.request.Caller.Name, Priority: a.run.request.Service.Config.Priority,
-			Deadline: a.offer.Deadline, Due: a.run.due,
-			Avoid: p.translate(a.view, a.offer.Avoid), Hedge: a.offer.Hedge, Retry: a.offer.Retry, Solo: a.offer.Solo,
+			Deadline: a.offer.Deadline, Due: a.run.fullValueUntil,
+			Avoid: p.translateLeaves(a.view, a.offer.Avoid), Hedge: a.offer.Hedge, Retry: a.offer.Retry, Solo: a.offer.Solo,
 		}
 	})
 	if !known {
@@ -92,8 +92,8 @@
 	}
 }
 
-// shard finds the pool's shard for the attempt's part; the query may speak by an older view.
-func (p *pool) shard(a *attempt) (int, bool) {
+// shardIndex finds the pool's shardIndex for the attempt's part; the query may speak by an older view.
+func (p *pool) shardIndex(a *attempt) (int, bool) {
 	if a.view == p.view {
 		return a.offer.Shard, true
 	}
@@ -105,9 +105,9 @@
 	return 0, false
 }
 
-// translate turns leaf indexes of another view into the pool's. A leaf that the query's view lacks,
+// translateLeaves turns leaf indexes of another view into the pool's. A leaf that the query's view lacks,
 // as only the pool's newer view had it, is left out.
-func (p *pool) translate(from *view.View, leaves []int) []int {
+func (p *pool) translateLeaves(from *view.View, leaves []int) []int {
 	if from == p.view || len(leaves) == 0 {
 		return leaves
 	}
@@ -143,8 +143,8 @@
 	}
 }
 
-// finish reports the end of a running attempt.
-func (p *pool) finish(a *attempt, outcome dispatch.Outcome, service time.Duration) {
+// finishAttempt reports the end of a running attempt.
+func (p *pool) finishAttempt(a *attempt, outcome dispatch.Outcome, service time.Duration) {
 	p.handle(func() dispatch.Event {
 		delete(p.attempts, a.ticket)
 		return dispatch.Finished{
@@ -162,8 +162,8 @@
 	})
 }
 
-// start is a dispatched attempt that runs once the lock is given back.
-type start struct {
+// dispatchedAttempt is a dispatched attempt that runs once the lock is given back.
+type dispatchedAttempt struct {
 	attempt  *attempt
 	ctx      context.Context
 	action   dispatch.Dispatch
@@ -174,18 +174,18 @@
 // handle gives the machine an event that is made under the lock, nil for none, and carries out
 // its actions.
 func (p *pool) handle(event func() dispatch.Event) {
-	starts, refused := p.step(event)
+	starts, refused := p.handleUnderLock(event)
 	for _, s := range starts {
 		go p.executor.exchange(p, s)
 	}
 	for _, r := range refused {
-		r.tell(p)
+		r.report(p)
 	}
 }
 
-// step does the part under the lock. The lock is released after a panic too: net/http recovers
+// handleUnderLock does the part under the lock. The lock is released after a panic too: net/http recovers
 // those of its handlers.
-func (p *pool) step(event func() dispatch.Event) (starts []start, refused []refusedAttempt) {
+func (p *pool) handleUnderLock(event func() dispatch.Event) (starts []dispatchedAttempt, refused []refusedAttempt) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	ev := event()
@@ -196,7 +196,7 @@
 	for _, action := range p.machine.Handle(ev, now) {
 		switch action := action.(type) {
 		case dispatch.Dispatch:
-			if s, ok := p.prepare(action, now); ok {
+			if s, ok := p.markRunning(action, now); ok {
 				starts = append(starts, s)
 			}
 		case dispatch.Refuse:
@@ -205,24 +205,24 @@
 				refused = append(refused, refusedAttempt{a, action})
 			}
 		case dispatch.WakeAt:
-			p.wake(action.At, now)
+			p.scheduleWake(action.At, now)
 		}
 	}
 	return starts, refused
 }
 
-// prepare marks an attempt as running on the leaf.
-func (p *pool) prepare(d dispatch.Dispatch, now time.Time) (start, bool) {
+// markRunning marks an attempt as running on the leaf.
+func (p *pool) markRunning(d dispatch.Dispatch, now time.Time) (dispatchedAttempt, bool) {
 	a, ok := p.attempts[d.Ticket]
 	if !ok {
-		return start{}, false
+		return dispatchedAttempt{}, false
 	}
 	leaf := &p.view.Leaves[d.Leaf]
 	a.leafID = leaf.ID
 	a.started = now
 	ctx, cancel := context.WithCancel(a.run.work)
 	a.cancel = cancel
-	return start{attempt: a, ctx: ctx, action: d, leaf: leaf, dialCost: p.view.Upstreams[p.upstream].Config.DialCost}, true
+	return dispatchedAttempt{attempt: a, ctx: ctx, action: d, leaf: leaf, dialCost: p.view.Upstreams[p.upstream].Config.DialCost}, true
 }
 
 // refusedAttempt is an attempt that the machine will not dispatch.
@@ -231,14 +231,14 @@
 	action  dispatch.Refuse
 }
 
-// tell logs the refusal and passes it to the query.
-func (r refusedAttempt) tell(p *pool) {
-	p.executor.decide(r.attempt, telemetry.Decision{Part: partDispatch, What: "refuse", Why: string(r.action.Reason)})
+// report logs the refusal and passes it to the query.
+func (r refusedAttempt) report(p *pool) {
+	p.executor.logDecision(r.attempt, telemetry.Decision{Part: prefixDispatch, What: "refuse", Why: string(r.action.Reason)})
 	r.attempt.run.mail.put(query.NotSent{Attempt: r.attempt.offer.Attempt, Reason: r.action.Reason, RetryAfter: r.action.RetryAfter})
 }
 
-// wake sets the pool's one timer to the earliest wish.
-func (p *pool) wake(at, now time.Time) {
+// scheduleWake sets the pool's one timer to the earliest wish.
+func (p *pool) scheduleWake(at, now time.Time) {
 	if !p.wakeAt.IsZero() && !at.Before(p.wakeAt) {
 		return
 	}
--- a/entry/executor/pool_test.go
+++ b/entry/executor/pool_test.go
@@ -24,7 +24,7 @@
 func TestLeafThatAQuerysViewLacksDoesNotHangTheInstance(t *testing.T) {
 	p := &pool{view: viewOf(2, "b", "a")}
 	query := viewOf(1, "a")
-	if got := p.translate(query, []int{view.NoLeaf, 0}); len(got) != 1 || got[0] != p.view.Upstreams[0].LeafIndex("a") {
+	if got := p.translateLeaves(query, []int{view.NoLeaf, 0}); len(got) != 1 || got[0] != p.view.Upstreams[0].LeafIndex("a") {
 		t.Errorf("avoided are %v", got)
 	}
 }
--- a/entry/executor/quarantine.go
+++ b/entry/executor/quarantine.go
@@ -21,12 +21,12 @@
 	key     []byte
 	mu      sync.Mutex
 	machine *quarantine.Machine
-	strikes quarantine.LossCounter
+	losses  quarantine.LossCounter
 }
 
 // quarantineConfig sets times and bounds of the quarantine.
 var quarantineConfig = quarantine.Config{
-	QuarantineDuration: defaultQuarantineFor,
+	QuarantineDuration: defaultQuarantineDuration,
 	SuspectDuration:    2 * time.Minute,
 	MaxRecords:         4096,
 	MaxKnownGood:       65536,
@@ -36,11 +36,11 @@
 const (
 	// defaultQuarantineFor is how long a request that broke two leaves, one of them
 	// alone, is refused.
-	defaultQuarantineFor = 10 * time.Minute
+	defaultQuarantineDuration = 10 * time.Minute
 	// strikesFor is how long the loss of a leaf counts against the request that it ran.
-	strikesFor = time.Minute
+	lossWindow = time.Minute
 	// mostStrikes bounds the requests with losses that are remembered.
-	mostStrikes = 4096
+	maxRequestsWithLosses = 4096
 )
 
 // newQuarantineState makes it empty. All entries must have the same key, so that they
@@ -51,27 +51,27 @@
 		config.QuarantineDuration = lasts
 	}
 	return &quarantineState{
-		key: key, machine: quarantine.New(config), strikes: quarantine.LossCounter{Window: strikesFor, MaxRequests: mostStrikes},
+		key: key, machine: quarantine.New(config), losses: quarantine.LossCounter{Window: lossWindow, MaxRequests: maxRequestsWithLosses},
 	}
 }
 
 // lost notes a leaf that was lost under a request. It reports whether that makes the
 // request a suspect, with what is to be reported of it.
-func (s *quarantineState) lost(fingerprint string, leaf quarantine.Incarnation, enough int, now time.Time) (suspect bool, actions []quarantine.Action) {
+func (s *quarantineState) recordLoss(fingerprint string, leaf quarantine.Incarnation, enough int, now time.Time) (suspect bool, actions []quarantine.Action) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.strikes.RecordLoss(fingerprint, leaf, enough, now) {
+	if !s.losses.RecordLoss(fingerprint, leaf, enough, now) {
 		return false, nil
 	}
 	return true, slices.Clone(s.machine.Handle(quarantine.AttemptEnded{Fingerprint: fingerprint, Leaf: leaf.Leaf, Crashed: true}, now))
 }
 
 // ran notes that a leaf ran a request to its end.
-func (s *quarantineState) ran(fingerprint string) {
+func (s *quarantineState) recordSuccess(fingerprint string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.strikes.Empty() {
-		s.strikes.RecordSuccess(fingerprint)
+	if !s.losses.Empty() {
+		s.losses.RecordSuccess(fingerprint)
 	}
 }
 
@@ -94,7 +94,7 @@
 const fingerprintBytes = 16
 
 // seed is the fingerprint's hash, which chooses the part that runs alone.
-func seed(fingerprint string) uint64 { return xxhash.Sum64String(fingerprint) }
+func canarySeed(fingerprint string) uint64 { return xxhash.Sum64String(fingerprint) }
 
 // admit decides how a request may run.
 func (s *quarantineState) admit(fingerprint string, r *Request, now time.Time) quarantine.Decision {
@@ -128,13 +128,13 @@
 
 // maxLeftMS bounds a peer's word on how long a record lasts; the kernel bounds
 // it further.
-const maxLeftMS = int64(24 * time.Hour / time.Millisecond)
+const maxRemainingMS = int64(24 * time.Hour / time.Millisecond)
 
 // merge takes in a peer's records.
 func (s *quarantineState) merge(list []peerapi.Quarantined, now time.Time) []quarantine.Action {
 	records := make([]quarantine.Record, 0, len(list))
 	for _, q := range list {
-		left := time.Duration(min(q.LeftMS, maxLeftMS)) * time.Millisecond
+		left := time.Duration(min(q.LeftMS, maxRemainingMS)) * time.Millisecond
 		records = append(records, quarantine.Record{Fingerprint: q.Fingerprint, Level: q.Level, ExpiresAt: now.Add(left)})
 	}
 	return s.handle(quarantine.RecordsReceived{Records: records}, now)
@@ -146,19 +146,19 @@
 }
 
 // carryOut tells the peers and the running queries what the quarantine learnt.
-func (e *Executor) carryOut(actions []quarantine.Action) {
+func (e *Executor) applyQuarantineActions(actions []quarantine.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
 		case quarantine.Announce:
 			e.config.LeafObserver.GossipNow()
 		case quarantine.PhaseChanged:
-			e.tellRuns(action)
+			e.notifyRuns(action)
 		}
 	}
 }
 
 // tellRuns tells the running queries of a fingerprint what has become of it.
-func (e *Executor) tellRuns(c quarantine.PhaseChanged) {
+func (e *Executor) notifyRuns(c quarantine.PhaseChanged) {
 	var ev query.Event
 	switch c.Phase {
 	case quarantine.PhaseClear:
@@ -183,10 +183,10 @@
 
 // MergeQuarantine takes in a peer's list.
 func (e *Executor) MergeQuarantine(list []peerapi.Quarantined) {
-	e.carryOut(e.quarantine.merge(list, time.Now()))
+	e.applyQuarantineActions(e.quarantine.merge(list, time.Now()))
 }
 
 // LiftQuarantine lets a fingerprint run again.
 func (e *Executor) LiftQuarantine(fingerprint string) {
-	e.carryOut(e.quarantine.lift(fingerprint, time.Now()))
+	e.applyQuarantineActions(e.quarantine.lift(fingerprint, time.Now()))
 }
--- a/entry/executor/story.go
+++ b/entry/executor/query_log.go
@@ -9,11 +9,11 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/view"
 )
 
-// mostMissing bounds the parts that a line names.
-const mostMissing = 12
+// maxLoggedMissing bounds the parts that a line names.
+const maxLoggedMissing = 12
 
-// name is the caller's own name of the request, "" if it gave none.
-func (r *Request) name() string {
+// callerRequestID is the caller's own callerRequestID of the request, "" if it gave none.
+func (r *Request) callerRequestID() string {
 	if r.Forwarded == nil {
 		return ""
 	}
@@ -41,8 +41,8 @@
 	took    time.Duration
 }
 
-// sawReply notes how long an attempt took that brought a reply.
-func (r *run) sawReply(a *attempt, took time.Duration) {
+// recordReplyTime notes how long an attempt took that brought a reply.
+func (r *run) recordReplyTime(a *attempt, took time.Duration) {
 	if !r.executor.config.Log.DecisionsOn() {
 		return
 	}
@@ -69,7 +69,7 @@
 	}
 	more := []any{
 		"service", config.Name, "share", a.Share, "sent", a.Sent, "hedges", a.Hedges, "retries", a.Retries, "groups", a.Groups,
-		"left", time.Until(r.request.Deadline), "objective", config.Objective, "way", r.request.way(), "config", r.request.View.Generation,
+		"left", time.Until(r.request.Deadline), "objective", config.Objective, "way", r.request.networkDelay(), "config", r.request.View.Generation,
 	}
 	if r.executor.config.Ages != nil {
 		configAge, leavesAge := r.executor.config.Ages()
@@ -78,7 +78,7 @@
 	if r.request.OnlyShards != nil {
 		more = append(more, "group", true) // of a query that another instance answers
 	}
-	if queued := time.Duration(r.waited.Load()); queued > 0 {
+	if queued := time.Duration(r.longestWait.Load()); queued > 0 {
 		more = append(more, "queued", queued)
 	}
 	if s := r.slowest.Load(); s != nil {
@@ -88,26 +88,26 @@
 		more = append(more, "reason", a.Reason)
 	}
 	if len(a.Missing) > 0 {
-		more = append(more, "missing", r.missingParts(a))
+		more = append(more, "missing", r.describeMissing(a))
 	}
 	log.Decide(telemetry.Decision{
-		Part: partQuery, What: "answer", Query: r.stamp, Request: r.request.name(), Why: string(a.Outcome),
+		Part: prefixQuery, What: "answer", Query: r.stamp, Request: r.request.callerRequestID(), Why: string(a.Outcome),
 		Took: took, More: more, Class: class,
 	})
 }
 
-// missingParts lists parts with the reason of each, as "name:reason; name:reason".
-func (r *run) missingParts(a *query.Answer) string {
+// describeMissing lists parts with the reason of each, as "name:reason; name:reason".
+func (r *run) describeMissing(a *query.Answer) string {
 	var b strings.Builder
 	for i, m := range a.Missing {
-		if i == mostMissing {
+		if i == maxLoggedMissing {
 			b.WriteString("; ...")
 			break
 		}
 		if i > 0 {
 			b.WriteString("; ")
 		}
-		b.WriteString(partName(r.request.View, m.Part) + ":" + missing(m))
+		b.WriteString(partName(r.request.View, m.Part) + ":" + missingReason(m))
 	}
 	return b.String()
 }
--- /dev/null
+++ b/entry/executor/repeat_limiters.go
@@ -0,0 +1,96 @@
+package executor
+
+import (
+	"math"
+	"sync"
+	"time"
+
+	kernelrepetition "github.com/fuchsiaroad/fuchsiaroad/kernel/repetition"
+	"github.com/fuchsiaroad/fuchsiaroad/kernel/view"
+)
+
+// repeatLimiters keeps the fleet's bound on extra repeatLimiters at each shard. Upstreams
+// that share a shard's name share its bound. It guards the kernel's windows by a
+// lock.
+type repeatLimiters struct {
+	slackShare func(shards int) float64 // Config.RepeatSlackShare
+
+	mu      sync.Mutex
+	byShard map[string]*kernelrepetition.RepeatLimiter // by shard name
+}
+
+// newRepeatLimiters makes it empty.
+func newRepeatLimiters(slack func(shards int) float64) *repeatLimiters {
+	if slack == nil {
+		slack = func(int) float64 { return 1 }
+	}
+	return &repeatLimiters{slackShare: slack, byShard: make(map[string]*kernelrepetition.RepeatLimiter)}
+}
+
+// countRequest counts a request at a shard. It is counted by the instance that asks the
+// shard's leaves, which may repeat it.
+func (a *repeatLimiters) countRequest(up *view.Upstream, shard int, now time.Time) {
+	if up.Config.RepeatLimit == nil || shard < 0 || shard >= len(up.Shards) {
+		return
+	}
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.limiter(up, shard).CountRequest(now)
+}
+
+// takeRepeat spends one repeat at a shard, if it fits. Without a bound it always does.
+func (a *repeatLimiters) takeRepeat(up *view.Upstream, shard int, now time.Time) bool {
+	if up.Config.RepeatLimit == nil || shard < 0 || shard >= len(up.Shards) {
+		return up.Config.RepeatLimit == nil
+	}
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.limiter(up, shard).TakeRepeat(now)
+}
+
+// remainingRepeats is the least number of repeats that fit at any shard now; 0 shards: none known.
+func (a *repeatLimiters) remainingRepeats(now time.Time) (least float64, shards int) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	least = math.Inf(1)
+	for _, w := range a.byShard {
+		least = min(least, w.RemainingRepeats(now))
+	}
+	return least, len(a.byShard)
+}
+
+// RemainingRepeats is the least number of repeats that this instance may still make at any
+// of so many shards.
+func (e *Executor) RemainingRepeats(now time.Time) (least float64, shards int) {
+	return e.repeatLimiters.remainingRepeats(now)
+}
+
+// limiter returns the limiter of a shard with this instance's part of the limit.
+// The lock is held.
+func (a *repeatLimiters) limiter(up *view.Upstream, shard int) *kernelrepetition.RepeatLimiter {
+	limit := up.Config.RepeatLimit
+	part := kernelrepetition.RepeatLimit{
+		Ratio: limit.Ratio, Slack: limit.Slack * a.slackShare(len(up.Shards)), Window: limit.Window,
+	}
+	name := up.Shards[shard].Name
+	w, ok := a.byShard[name]
+	if !ok {
+		w = kernelrepetition.NewRepeatLimiter(part)
+		a.byShard[name] = w
+	}
+	w.SetLimit(part)
+	return w
+}
+
+// TakeRepeat implements query.ShardBudget by the indexes of the query's newest view.
+// It is called with the run's lock held.
+func (r *run) TakeRepeat(upstream, shard int, now time.Time) bool {
+	if upstream < 0 || upstream >= len(r.view.Upstreams) {
+		return false
+	}
+	if r.executor.repeatLimiters.takeRepeat(&r.view.Upstreams[upstream], shard, now) {
+		return true
+	}
+	r.service.metrics.RepeatsRefused.Inc(1)
+	return false
+}
--- a/entry/executor/run.go
+++ b/entry/executor/run.go
@@ -22,24 +22,24 @@
 	executor    *Executor
 	request     *Request
 	id          string
-	secret      string // makes the attempts' ids unguessable
+	tokenSecret string // makes the attempts' ids unguessable
 	stamp       uint64
 	fingerprint string
 	service     *serviceState
 	repetition  *repetition
-	versions    *versions
+	versions    *versionSource
 	mail        *mailbox
 	// ran says that a leaf ran the request to its end, suspect that it is suspected of
 	// breaking leaves.
-	ran, suspect atomic.Bool
+	completed, suspected atomic.Bool
 	// direct counts the shards that this query asks itself.
-	direct atomic.Int64
+	directShards atomic.Int64
 	// groups are those that other instances may gather.
 	groups []Group
 	// due is when the answer has its full value; zero: until the deadline.
-	due time.Time
+	fullValueUntil time.Time
 	// waited is the longest time that an attempt waited in a queue here, in nanoseconds.
-	waited atomic.Int64
+	longestWait atomic.Int64
 	// slowest is the attempt that took longest of those that brought a reply; nil: none did.
 	slowest atomic.Pointer[slowReply]
 	ctx     context.Context // ends with the caller
@@ -51,7 +51,7 @@
 	machine  *query.Machine
 	attempts map[query.AttemptID]*attempt
 	// gathering holds the groups that were offered.
-	gathering map[query.AttemptID]*gathering
+	offeredGroups map[query.AttemptID]*offeredGroup
 	// view is the newest view that the machine knows; pools is by its indexes.
 	view   *view.View
 	pools  map[int]*pool
@@ -70,11 +70,11 @@
 // having seen another attempt of the same query, which goes to other leaves of
 // the same caller's request.
 func (r *run) attemptToken(id query.AttemptID) string {
-	return r.secret + "-" + strconv.FormatUint(uint64(id), 16)
+	return r.tokenSecret + "-" + strconv.FormatUint(uint64(id), 16)
 }
 
 // drive runs the query to its answer.
-func (r *run) drive() *query.Answer {
+func (r *run) driveMachine() *query.Answer {
 	r.timer = time.NewTimer(time.Hour)
 	r.timer.Stop()
 	defer r.timer.Stop()
@@ -82,7 +82,7 @@
 	r.handle(query.Begin{})
 	done := r.ctx.Done()
 	var events []query.Event
-	for !r.answered() {
+	for !r.hasAnswer() {
 		select {
 		case <-r.mail.wake:
 			events = r.mail.take(events)
@@ -100,7 +100,7 @@
 }
 
 // answered reports whether the query has its answer.
-func (r *run) answered() bool {
+func (r *run) hasAnswer() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.answer != nil
@@ -110,71 +110,71 @@
 func (r *run) handle(ev query.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.step(ev)
+	r.handleLocked(ev)
 }
 
 // maySend tells the machine that the attempt's bytes go out now, and reports
 // whether they may. It is asked right before they do: no event can come between
 // the machine's word and the sending, so that an answer "not run" stays true.
-func (r *run) maySend(a *attempt, leaf int) bool {
+func (r *run) confirmSend(a *attempt, leaf int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.answer != nil || a.withdrawn || !ledger.MayDispatch(r.request.Deadline, time.Now()) {
 		return false // a paused instance finds its deadline passed here
 	}
-	r.step(query.Sent{Attempt: a.offer.Attempt, Leaf: leaf})
+	r.handleLocked(query.Sent{Attempt: a.offer.Attempt, Leaf: leaf})
 	return !a.withdrawn
 }
 
 // step gives one event to the machine and carries out its actions. The lock is
 // held; pools never take it, they only put events into the mailbox.
-func (r *run) step(ev query.Event) {
+func (r *run) handleLocked(ev query.Event) {
 	if r.answer != nil {
 		return
 	}
 	now := time.Now()
-	r.heed(ev, now)
+	r.applyEvent(ev, now)
 	for _, action := range r.machine.Handle(ev, now) {
-		r.act(action)
+		r.performAction(action)
 	}
 }
 
 // heed does what an event means outside of the machine.
-func (r *run) heed(ev query.Event, now time.Time) {
+func (r *run) applyEvent(ev query.Event, now time.Time) {
 	switch ev := ev.(type) {
 	case query.ViewChanged:
-		r.follow(ev.View)
+		r.setView(ev.View)
 	case query.Declined:
 		if ev.Reason == query.ReasonOverloaded {
-			r.repetition.shed(now)
+			r.repetition.recordShed(now)
 		}
 	case query.NotSent:
 		if ev.Reason == query.ReasonOverloaded {
-			r.repetition.shed(now)
+			r.repetition.recordShed(now)
 		}
 	}
 }
 
 // follow moves the query to a newer view, by whose indexes it speaks from here on.
-func (r *run) follow(v *view.View) {
+func (r *run) setView(v *view.View) {
 	r.view = v
 	r.versions.view = v
 	clear(r.pools)
 }
 
 // act carries out one action.
-func (r *run) act(action query.Action) {
+func (r *run) performAction(action query.Action) {
 	switch action := action.(type) {
 	case query.Offer:
-		r.offer(action)
+		r.offerAttempt(action)
 	case query.OfferGroup:
 		r.offerGroup(action)
 	case query.Withdraw:
-		r.withdraw(action.Attempt)
+		r.withdrawAttempt(action.Attempt)
 	case query.WakeAt:
 		r.timer.Reset(max(time.Until(action.At), 0))
 	case query.Verdict:
-		r.verdict(action)
+		r.reportVerdict(action)
 	case query.Interim:
 		r.request.OnInterim(&action.Answer)
 	case query.Finish:
@@ -184,24 +184,24 @@
 }
 
 // offer puts an attempt into its upstream's pool.
-func (r *run) offer(o query.Offer) {
+func (r *run) offerAttempt(o query.Offer) {
 	a := &attempt{
 		ticket: dispatch.Ticket{Query: r.stamp, Attempt: o.Attempt},
 		run:    r, view: r.view, offer: o, token: r.attemptToken(o.Attempt),
 	}
 	r.attempts[o.Attempt] = a
 	if o.Hedge {
-		r.executor.decide(a, telemetry.Decision{Part: partQuery, What: "hedge", Class: telemetry.Routine})
+		r.executor.logDecision(a, telemetry.Decision{Part: prefixQuery, What: "hedge", Class: telemetry.Routine})
 	}
 	if o.Retry {
-		r.executor.decide(a, telemetry.Decision{Part: partQuery, What: "retry", Class: telemetry.Outcome})
+		r.executor.logDecision(a, telemetry.Decision{Part: prefixQuery, What: "retry", Class: telemetry.Outcome})
 	}
 	if !o.Hedge && !o.Retry {
-		r.direct.Add(1)
-		r.executor.arrivals.arrived(&r.view.Upstreams[o.Part.Upstream], o.Shard, time.Now())
+		r.directShards.Add(1)
+		r.executor.repeatLimiters.countRequest(&r.view.Upstreams[o.Part.Upstream], o.Shard, time.Now())
 	}
 	a.pool = r.pool(o.Part.Upstream)
-	a.pool.offer(a)
+	a.pool.enqueue(a)
 }
 
 // pool returns the pool of an upstream, looked up once per query.
@@ -215,33 +215,33 @@
 }
 
 // withdraw takes an attempt back.
-func (r *run) withdraw(id query.AttemptID) {
+func (r *run) withdrawAttempt(id query.AttemptID) {
 	if a, ok := r.attempts[id]; ok && !a.withdrawn {
 		a.withdrawn = true
 		a.pool.withdraw(a.ticket)
 	}
-	if g, ok := r.gathering[id]; ok {
+	if g, ok := r.offeredGroups[id]; ok {
 		g.withdrawn = true
 		g.cancel()
 	}
 }
 
 // verdict tells the quarantine how an attempt ended on its leaf.
-func (r *run) verdict(v query.Verdict) {
+func (r *run) reportVerdict(v query.Verdict) {
 	a, ok := r.attempts[v.Attempt]
 	if !ok {
 		return
 	}
 	e := r.executor
-	actions := e.quarantine.observe(quarantine.AttemptEnded{Fingerprint: r.fingerprint, Leaf: a.leafName(v.Leaf), Crashed: v.Crashed, Solo: a.offer.Solo}, time.Now())
+	actions := e.quarantine.observe(quarantine.AttemptEnded{Fingerprint: r.fingerprint, Leaf: a.leafIDAt(v.Leaf), Crashed: v.Crashed, Solo: a.offer.Solo}, time.Now())
 	if v.Crashed {
-		e.decide(a, telemetry.Decision{Part: partQuery, What: "suspect", Leaf: a.leafName(v.Leaf), Why: r.fingerprint})
+		e.logDecision(a, telemetry.Decision{Part: prefixQuery, What: "suspect", Leaf: a.leafIDAt(v.Leaf), Why: r.fingerprint})
 	}
-	e.carryOut(actions)
+	e.applyQuarantineActions(actions)
 }
 
 // leafName is the ID of a leaf by its index in the attempt's view.
-func (a *attempt) leafName(leaf int) string {
+func (a *attempt) leafIDAt(leaf int) string {
 	if leaf < 0 || leaf >= len(a.view.Leaves) {
 		return ""
 	}
