--- a/entry/executor/admission.go
+++ b/entry/executor/admission.go
@@ -9,7 +9,7 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/query"
 )
 
-// admission guards a service's admission policy by a lock.
+// admission is a service's admission policy, guarded by a lock.
 type admission struct {
 	mu     sync.Mutex
 	policy *dispatch.Admission
@@ -17,7 +17,7 @@
 
 // admit decides on a whole query before any part of it is queued: a query of
 // which too few parts would finish in time is refused at once, and costs the
-// leaves nothing. What another instance has taken in is not judged again here.
+// leaves nothing. A query that another instance has admitted is not checked again.
 func (e *Executor) admit(r *run) *RefusedError {
 	now := time.Now()
 	if !now.Before(r.request.Deadline) {
@@ -26,9 +26,9 @@
 	if r.request.OnlyShards != nil {
 		return nil
 	}
-	fitters := make([]dispatch.LoadEstimator, 0, len(r.request.Service.Upstreams))
+	estimators := make([]dispatch.LoadEstimator, 0, len(r.request.Service.Upstreams))
 	for _, upstream := range r.request.Service.Upstreams {
-		fitters = append(fitters, r.pool(upstream))
+		estimators = append(estimators, r.pool(upstream))
 	}
 	left := r.timeToFullValue(now)
 	a := r.service.admission
@@ -36,7 +36,7 @@
 	decision := a.policy.Admit(dispatch.QueryRequest{
 		Caller: r.request.Caller.Name, Share: r.request.Caller.Share, Priority: r.request.Service.Config.Priority,
 		TimeLeft: left, LeastCoverage: r.request.Service.Config.LeastCoverage,
-	}, fitters, now)
+	}, estimators, now)
 	a.mu.Unlock()
 	if decision.Admitted {
 		return nil
@@ -48,8 +48,8 @@
 	return refuse(RefusedOverloaded, decision.RetryAfter, "too few parts would finish in time")
 }
 
-// timeToFullValue is the time in which an answer has its full value, or the time to the
-// deadline where that has passed or there is no objective.
+// timeToFullValue returns the time left in which an answer has its full value, or the time
+// to the deadline if that has passed or there is no objective.
 func (r *run) timeToFullValue(now time.Time) time.Duration {
 	if left := r.fullValueUntil.Sub(now); left > 0 {
 		return left
@@ -57,8 +57,8 @@
 	return r.request.Deadline.Sub(now)
 }
 
-// minLateWaitShare of the time in which an answer has its full value, spent in a queue here,
-// shows that an answer was late for the load: it is the least wait that admission aims at.
+// minLateWaitShare is the share of the objective beyond which the time in a queue here counts
+// as the cause of a late answer: it is the shortest wait that admission aims at.
 const minLateWaitShare = 0.05
 
 // reportToAdmission tells the admission policy how an admitted query ended.
@@ -80,7 +80,7 @@
 	a.policy.RecordAnswer(useful, late, now)
 }
 
-// recordQueueWait notes for how long an attempt waited in a queue here.
+// recordQueueWait keeps the time that an attempt waited in a queue here if it is the longest.
 func (r *run) recordQueueWait(d time.Duration) {
 	for {
 		longest := r.longestWait.Load()
--- a/entry/executor/at_most_once.go
+++ b/entry/executor/at_most_once.go
@@ -10,14 +10,14 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/query"
 )
 
-// Ledger claims keys; *ledger.Ledger does it.
+// Ledger claims idempotency keys; *ledger.Ledger implements it.
 type Ledger interface {
 	Claim(ctx context.Context, r ledger.Request) (*ledger.Grant, error)
 }
 
-// atMostOnce runs a non-idempotent request. With a key, it runs only under a
-// confirmed claim, so that a resend at any entry can't run it again. Without
-// one, where the service allows that, it runs with one attempt.
+// executeAtMostOnce runs a non-idempotent request. With a key, the request runs only under
+// a confirmed claim, so that a resend at any instance can't run it again. Without a key,
+// if the service allows that, it runs with one attempt.
 func (e *Executor) executeAtMostOnce(ctx context.Context, req *Request) (*Response, error) {
 	if req.Key == "" {
 		if req.Service.Config.KeyRequired {
@@ -32,7 +32,7 @@
 	if err != nil {
 		return convertClaimError(err)
 	}
-	// A claimant that was paused since the claim must not start stale work.
+	// An instance that was paused since the claim must not start work past the deadline.
 	if !grant.MayDispatch() {
 		grant.Release()
 		return nil, refuse(RefusedDeadline, minRetryAfter, "the deadline passed before the request could start")
@@ -46,8 +46,8 @@
 	return resp, nil
 }
 
-// recorded is what the ledger keeps of an answer. A word that the ledger does
-// not know is kept as unknown: the request may have run.
+// ledgerResult returns the part of an answer that the ledger stores. An outcome that the
+// ledger doesn't know is stored as unknown: the request may have run.
 func ledgerResult(a *callerapi.Answer) kernelledger.Result {
 	outcome, err := kernelledger.ParseOutcome(a.Outcome)
 	if err != nil {
@@ -56,10 +56,11 @@
 	return kernelledger.Result{Outcome: outcome, Version: a.Version, ShareBP: uint16(a.Share * basisPoints)}
 }
 
-// basisPoints is the whole, in the ledger's unit of shares.
+// basisPoints is a share of 1 in the ledger's unit, basis points.
 const basisPoints = 10_000
 
-// claimFailed answers a request whose claim was not granted: it did not run.
+// convertClaimError converts the error of a claim that was not granted to the answer or
+// refusal of the request. The request was not run under this claim.
 func convertClaimError(err error) (*Response, error) {
 	var held *ledger.HeldError
 	var mismatch *ledger.MismatchError
@@ -79,7 +80,7 @@
 	}
 }
 
-// heldAnswer answers a resend from what is known of the earlier request. It is
+// resendResponse answers a resend from what is known of the earlier request. It is
 // never a refusal: the request with this key ran or may have run.
 func resendResponse(held *ledger.HeldError) *Response {
 	answer := callerapi.Answer{
--- a/entry/executor/bench_test.go
+++ b/entry/executor/bench_test.go
@@ -13,16 +13,16 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/keyrange"
 )
 
-// instant answers every attempt at once.
-type instant struct{}
+// instantLeaves is a leaf client that answers every attempt at once.
+type instantLeaves struct{}
 
-func (instant) Run(_ context.Context, _ leafclient.Target, r *leafclient.Request, sent func() bool) (*leafclient.Reply, error) {
+func (instantLeaves) Run(_ context.Context, _ leafclient.Target, r *leafclient.Request, sent func() bool) (*leafclient.Reply, error) {
 	sent()
 	return &leafclient.Reply{Version: 1, Ranges: []keyrange.Range{r.Range}, Said: leafclient.Said{Versions: []uint64{1}}}, nil
 }
 
-// BenchmarkExecute measures the executor's own cost of a query over leaves that
-// answer at once, with and without decision lines.
+// BenchmarkExecute measures the executor's own time for a query over leaves that
+// answer at once, with and without decision log lines.
 func BenchmarkExecute(b *testing.B) {
 	for _, decisions := range []bool{false, true} {
 		for _, shards := range []int{1, 20, 100, 600} {
@@ -34,17 +34,17 @@
 				defer log.Close()
 				metrics := telemetry.NewMetrics()
 				defer func() { _ = metrics.Close() }()
-				w := &bench{log: log, metrics: metrics}
-				w.executor = New(Config{
-					LeafClient: instant{}, LeafObserver: noObserver{}, Log: log, Metrics: metrics, Ledger: noLedger{},
+				fixture := &testExecutor{log: log, metrics: metrics}
+				fixture.executor = New(Config{
+					LeafClient: instantLeaves{}, LeafObserver: noObserver{}, Log: log, Metrics: metrics, Ledger: noLedger{},
 					Policies: Policies{Dispatch: dispatch.DefaultPolicies(), Repetition: "budgeted"},
 				})
-				w.setView(1, shards)
+				fixture.setView(1, shards)
 				b.ReportAllocs()
 				for b.Loop() {
 					now := time.Now()
-					_, err := w.executor.Execute(b.Context(), &Request{
-						View: w.view, Service: w.view.Services["ask"], Caller: &w.view.Document.Callers[0],
+					_, err := fixture.executor.Execute(b.Context(), &Request{
+						View: fixture.view, Service: fixture.view.Services["ask"], Caller: &fixture.view.Document.Callers[0],
 						Body: []byte("body"), Start: now, Deadline: now.Add(time.Second),
 					})
 					if err != nil {
--- a/entry/executor/exchange.go
+++ b/entry/executor/exchange.go
@@ -18,23 +18,23 @@
 	prefixQuery    = "query"
 )
 
-// exchange runs one dispatched attempt to its end and reports it to the query
-// and to the pool.
+// exchange runs one dispatched attempt and reports its result to the query and to
+// the pool.
 func (e *Executor) exchange(p *pool, s dispatchedAttempt) {
 	a := s.attempt
 	defer a.cancel()
 	e.logDecision(a, telemetry.Decision{Part: prefixDispatch, What: "dispatch", Leaf: s.leaf.ID, Why: s.action.Reason, Took: s.action.QueueTime, Class: telemetry.Routine})
 	a.run.recordQueueWait(s.action.QueueTime)
 	leaf := a.leafIndex(s.leaf.ID)
-	// The deadline is looked at again right before the bytes go: an instance
-	// that was paused since the decision must not start stale work.
+	// The deadline is checked again right before sending: an instance that was
+	// paused since the decision must not start work past the deadline.
 	if s.ctx.Err() != nil {
 		p.finishAttempt(a, dispatch.OutcomeCancelled, 0)
 		a.run.mail.put(query.NotSent{Attempt: a.offer.Attempt, Reason: query.ReasonDeadline})
 		return
 	}
-	// A request is only suspected of breaking a leaf that was up when it was
-	// sent: a leaf that breaks whatever comes is lost, and proves nothing.
+	// A request is only suspected of crashing a leaf that was up when it was
+	// sent: a leaf that closes every connection proves nothing about the request.
 	up := e.leafState.isUp(s.leaf.ID)
 	target := leafclient.Target{ID: s.leaf.ID, Name: s.leaf.Name, Address: s.leaf.Address, Connections: s.leaf.Connections, DialCost: s.dialCost}
 	request := &leafclient.Request{ID: a.run.id, Attempt: a.token, Version: a.offer.Version, Range: a.offer.Part.Range, Body: a.run.request.Body, Passed: a.run.request.Forwarded}
@@ -52,7 +52,7 @@
 	a.run.mail.put(query.Reply{Attempt: a.offer.Attempt, Leaf: leaf, Version: reply.Version, Ranges: reply.Ranges, Body: reply.Body, Versions: reply.Versions, Attachment: reply.Carried})
 }
 
-// attemptOutcome is the metrics' label of a failed exchange.
+// attemptOutcome returns the metrics' label of a failed exchange.
 func attemptOutcome(ctx context.Context, err error) telemetry.AttemptOutcome {
 	var declined *leafclient.DeclinedError
 	var broken *leafclient.BrokenError
@@ -70,14 +70,14 @@
 	}
 }
 
-// exchanged is an exchange that brought no reply.
+// failedExchange is an exchange that got no reply.
 type failedExchange struct {
 	leaf int  // index in the attempt's view
 	up   bool // the leaf was up when the request was sent
 	err  error
 }
 
-// failed converts the client's error to events. Only a dial error or the
+// handleFailure converts the client's error to events. Only a dial error or the
 // leaf's own decline counts as not run.
 func (e *Executor) handleFailure(ctx context.Context, p *pool, a *attempt, x failedExchange) {
 	leaf, err := x.leaf, x.err
@@ -124,7 +124,8 @@
 	}
 }
 
-// brokenOutcome tells the dispatch layer a break from a timeout and a withdrawal.
+// brokenOutcome returns the outcome of a broken exchange for the dispatch machine, which
+// distinguishes a broken connection from a timeout and a cancellation.
 func brokenOutcome(c leafclient.Cause) dispatch.Outcome {
 	switch c {
 	case leafclient.CauseDeadline:
@@ -136,7 +137,7 @@
 	}
 }
 
-// why is the short cause of an error, without addresses.
+// failureCause returns the short cause of an error for the log, without addresses.
 func failureCause(err error) string {
 	var declined *leafclient.DeclinedError
 	var broken *leafclient.BrokenError
@@ -150,20 +151,21 @@
 	}
 }
 
-// RecordStatus keeps what a leaf said of itself. It implements probe.StatusRecorder.
-func (e *Executor) RecordStatus(leafID string, said leafclient.Said) {
-	if e.leafState.recordStatus(leafID, said, time.Now()) {
-		e.config.LeafObserver.ObserveStart(leafID, said.Born)
+// RecordStatus records what a leaf reported about itself. It implements probe.StatusRecorder.
+func (e *Executor) RecordStatus(leafID string, status leafclient.Said) {
+	if e.leafState.recordStatus(leafID, status, time.Now()) {
+		e.config.LeafObserver.ObserveStart(leafID, status.Born)
 	}
-	if said.Draining {
-		e.config.LeafObserver.ObserveDraining(leafID, said.Born)
+	if status.Draining {
+		e.config.LeafObserver.ObserveDraining(leafID, status.Born)
 	}
 }
 
-// LastReply is when the leaf last said something, or the zero time.
+// LastReply returns when the leaf last replied; the zero time if a connection to it has
+// broken since.
 func (e *Executor) LastReply(leafID string) time.Time { return e.leafState.lastReplyTime(leafID) }
 
-// decide logs a decision about an attempt.
+// logDecision logs a decision about an attempt.
 func (e *Executor) logDecision(a *attempt, d telemetry.Decision) {
 	if !e.config.Log.DecisionsOn() {
 		return
--- a/entry/executor/execute.go
+++ b/entry/executor/execute.go
@@ -11,16 +11,16 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/query"
 )
 
-// Response is an answered request: something ran or may have run.
+// Response is the answer to a request that ran or may have run.
 type Response struct {
 	Answer callerapi.Answer
 }
 
-// refusedLabel is the metrics' outcome of a refusal.
+// refusedOutcome is the outcome of a refusal in the metrics.
 const refusedOutcome = "not_run"
 
-// Execute runs a request to its answer. The error, if any, is a *RefusedError:
-// the request provably ran nowhere.
+// Execute runs a request and returns its answer. The error, if any, is a
+// *RefusedError: the request provably ran nowhere.
 func (e *Executor) Execute(ctx context.Context, req *Request) (*Response, error) {
 	var resp *Response
 	err := e.runMeasured(req, func() (outcomeLabels, error) {
@@ -36,8 +36,8 @@
 	return resp, nil
 }
 
-// Forward runs a request that is handed on to leaves as it came, and returns
-// the kernel's answer with what the leaves' protocol carried. It claims no key:
+// Forward runs a request that is sent to leaves unchanged, and returns the
+// kernel's answer with the leaf protocol's attachments. It claims no key:
 // a request without one has one attempt unless its service is idempotent. The
 // error, if any, is a *RefusedError.
 func (e *Executor) Forward(ctx context.Context, req *Request) (*query.Answer, error) {
@@ -55,10 +55,10 @@
 	return answer, nil
 }
 
-// ending is how a query ended, for the metrics.
+// outcomeLabels are the metrics' labels of how a query ended.
 type outcomeLabels struct{ outcome, reason string }
 
-// endingOf is that of a query that was refused.
+// refusalLabels returns the labels of a query that was refused.
 func refusalLabels(err error) outcomeLabels {
 	var refused *RefusedError
 	if errors.As(err, &refused) {
@@ -67,7 +67,8 @@
 	return outcomeLabels{refusedOutcome, "internal"}
 }
 
-// counted runs a query within the bound of those in progress and meters it.
+// runMeasured runs a query if fewer than MaxQueries are in progress, and records its
+// outcome and duration.
 func (e *Executor) runMeasured(req *Request, run func() (outcomeLabels, error)) error {
 	e.inFlight.Add(1)
 	defer e.inFlight.Done()
@@ -88,7 +89,7 @@
 	return err
 }
 
-// jitter spreads callers that come back: between one and two times d.
+// jitter returns a random time between d and 2d, to spread the callers' retries.
 func jitter(d time.Duration) time.Duration { return d + rand.N(d) }
 
 // execute claims the key of a non-idempotent request before anything else.
@@ -99,7 +100,7 @@
 	return e.executeAtMostOnce(ctx, req)
 }
 
-// answered runs the query and writes its answer in the callers' terms.
+// fanOutAndConvert runs the query and converts its answer to the callers' API.
 func (e *Executor) fanOutAndConvert(ctx context.Context, req *Request) (*Response, error) {
 	r, answer, err := e.fanOut(ctx, req)
 	if err != nil {
@@ -120,7 +121,7 @@
 	return r, answer, err
 }
 
-// newRun makes the query's machine and its place in the order of work.
+// newRun returns the run of a query, with its machine and its place in the order of work.
 func (e *Executor) newRun(ctx context.Context, req *Request, fingerprint string, mode quarantine.Mode) *run {
 	r := &run{
 		executor: e, request: req, id: newToken(), tokenSecret: newToken(), stamp: e.nextStamp(req.Start),
@@ -150,8 +151,8 @@
 	return r
 }
 
-// due is when an answer must be settled to have its full value; zero: there is no
-// objective, and it has until the deadline.
+// fullValueUntil returns when an answer must be settled to have its full value; zero means
+// that there is no objective, only the deadline. before is the settle margin.
 func fullValueUntil(req *Request, before time.Duration) time.Time {
 	if req.Service.Config.Objective <= 0 {
 		return time.Time{}
@@ -159,7 +160,8 @@
 	return req.Start.Add(req.Service.Config.Objective - before)
 }
 
-// finish drives the query to its answer; one that says "not run" is an error.
+// runToAnswer runs the query and returns its answer; an answer "not run" is returned as
+// an error.
 func (r *run) runToAnswer() (*query.Answer, error) {
 	work, cancel := context.WithDeadline(r.ctx, r.request.Deadline)
 	defer cancel() // ends the exchanges that the answer no longer needs
@@ -179,7 +181,7 @@
 	return answer, nil
 }
 
-// account counts what the query cost.
+// recordWork adds what the query cost to the metrics and logs its answer.
 func (r *run) recordWork(a *query.Answer) {
 	m := r.service.metrics
 	m.Sent.Inc(int64(a.Sent))
@@ -191,7 +193,7 @@
 	r.logAnswer(a)
 }
 
-// convert writes the machine's answer in the callers' terms.
+// callerAnswer converts the machine's answer to the callers' API.
 func (r *run) callerAnswer(a *query.Answer) callerapi.Answer {
 	out := callerapi.Answer{
 		Request: r.id, Outcome: string(a.Outcome), Version: a.Version, Share: a.Share, Reason: a.Reason,
@@ -212,7 +214,7 @@
 	return out
 }
 
-// part names a part by its upstream.
+// callerPart converts a part to the callers' API, which names its upstream.
 func (r *run) callerPart(p query.Part) callerapi.Part {
 	return callerapi.Part{Upstream: r.request.View.Upstreams[p.Upstream].Name, Range: p.Range}
 }
--- a/entry/executor/executor.go
+++ b/entry/executor/executor.go
@@ -1,7 +1,7 @@
 // Package executor runs queries: one goroutine per query drives the query's
 // state machine, one pool per upstream drives the dispatch machine, and one
 // goroutine per running attempt talks to a leaf. All decisions are the
-// kernel's; this package turns its actions into I/O and I/O into its events.
+// kernel's; this package performs the I/O of its actions and reports the results as events.
 package executor
 
 import (
@@ -20,33 +20,35 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/view"
 )
 
-// LeafClient carries one attempt to one leaf; *leafclient.Client does it.
+// LeafClient sends one attempt to one leaf; *leafclient.Client implements it.
 type LeafClient interface {
 	Run(ctx context.Context, t leafclient.Target, r *leafclient.Request, sent func() bool) (*leafclient.Reply, error)
 }
 
-// LeafObserver takes what replies show of leaves: a drain mark, and a start that was not
-// known. A birth of 0 is not known. It must not block.
+// LeafObserver is told what replies show about leaves: that a leaf drains, and a start
+// time that was not known. born is the leaf's start in Unix milliseconds by its own clock;
+// 0 is unknown. The methods must not block.
 type LeafObserver interface {
 	ObserveDraining(leafID string, born int64)
 	ObserveStart(leafID string, born int64)
-	// GossipNow asks to tell the peers at once what the quarantine learnt.
+	// GossipNow asks for the quarantine's news to be sent to the peers at once.
 	GossipNow()
 }
 
-// Request is one caller's checked request.
+// Request is one caller's validated request.
 type Request struct {
 	View    *view.View
 	Service *view.Service
 	Caller  *document.Caller
 	Body    []byte
-	// Forwarded is the request where it is handed on to leaves as it came; see Forward.
+	// Forwarded is the caller's HTTP request if it is sent to leaves unchanged, else nil;
+	// see Forward.
 	Forwarded *leafclient.Passed
 	Key       string // Idempotency-Key, "" if none was given
 	Start     time.Time
 	Deadline  time.Time
-	// NetworkDelay is the time that the request and its answer spend between caller and
-	// instance; 0 where that is not known.
+	// NetworkDelay is the time that the request and its answer together spend on the
+	// network between caller and instance; 0 is unknown.
 	NetworkDelay time.Duration
 	// OnlyShards, if it is set, limits the request to the shards that this instance gathers
 	// for another. Interim receives what there is when an answer is due, and again with
@@ -55,7 +57,7 @@
 	OnInterim  func(*query.Answer)
 }
 
-// networkDelay is Way, or what is assumed of it.
+// networkDelay returns NetworkDelay, or the default where it is unknown.
 func (r *Request) networkDelay() time.Duration {
 	if r.NetworkDelay <= 0 {
 		return margin.DefaultNetworkDelay
@@ -63,7 +65,7 @@
 	return r.NetworkDelay
 }
 
-// Config is what an executor needs.
+// Config configures an executor.
 type Config struct {
 	LeafClient   LeafClient
 	LeafObserver LeafObserver
@@ -76,27 +78,29 @@
 	Seed uint64
 	// FleetKey is the entries' shared secret; fingerprints are keyed by it.
 	FleetKey []byte
-	// MaxQueries is the most queries in progress at once; 0 sets no bound.
+	// MaxQueries is the maximum of queries in progress at once; 0 is unlimited.
 	MaxQueries int
-	// MaxQueue is the most attempts that wait per shard; 0 sets no bound but time.
+	// MaxQueue is the maximum of attempts queued per shard; 0 leaves only their
+	// deadlines as a bound.
 	MaxQueue int
-	// Ages says how old the configuration and the list of leaves in force are,
-	// for the log; nil where that is not known.
+	// Ages returns the ages of the configuration and of the list of leaves in force,
+	// for the log; nil if they are unknown.
 	Ages func() (config, leaves time.Duration)
-	// Gatherer has parts of queries gathered by other instances; nil: none are.
+	// Gatherer delegates parts of queries to other instances; nil delegates none.
 	Gatherer Gatherer
-	// RepeatSlackShare is this instance's part, in (0, 1], of the repeats of an upstream of
-	// so many shards that all instances may make without any request; it may change.
-	// Nil means all of them.
+	// RepeatSlackShare returns this instance's share, in (0, 1], of an upstream's repeat
+	// slack: the repeats that all instances together may make regardless of the number
+	// of requests. It depends on the number of shards and may change; nil means 1.
 	RepeatSlackShare func(shards int) float64
 	// Ledger claims the keys of non-idempotent requests.
 	Ledger Ledger
-	// SuspectAfterLosses is how many different leaves must be lost under a request that none
-	// ran to its end before it is suspected of breaking them, for leaf protocols whose
-	// connections end for many reasons; 0: losses prove nothing.
+	// SuspectAfterLosses is how many different leaves must be lost under a request that no
+	// leaf ran to completion before the request is suspected of crashing them. It is for leaf
+	// protocols whose connections end for many reasons; 0 means that a loss is never
+	// counted as a crash.
 	SuspectAfterLosses int
-	// QuarantineDuration is how long a request that breaks leaves is refused; 0 means ten
-	// minutes.
+	// QuarantineDuration is how long a request that crashes leaves is refused; 0 means
+	// ten minutes.
 	QuarantineDuration time.Duration
 }
 
@@ -120,7 +124,7 @@
 	runs   map[*run]struct{}
 }
 
-// New makes an executor. The policies must have passed their Check.
+// New returns an executor. c.Policies must have passed Check.
 func New(c Config) *Executor {
 	return &Executor{
 		config:         c,
@@ -133,7 +137,7 @@
 	}
 }
 
-// QueriesInFlight is the number of queries in flight.
+// QueriesInFlight returns the number of queries in flight.
 func (e *Executor) QueriesInFlight() int64 { return e.queriesInFlight.Load() }
 
 // Wait returns when no query is in flight, or with the context's error.
@@ -151,9 +155,9 @@
 	}
 }
 
-// nextStamp gives a query its place in the one order of all work: the time of
-// its admission, made unique within this entry. Stamps of different entries
-// compare as well as their clocks agree.
+// nextStamp returns a query's position in the order of all work: its start in Unix
+// nanoseconds, made unique within this instance. Stamps of different instances compare
+// only as well as their clocks agree.
 func (e *Executor) nextStamp(now time.Time) uint64 {
 	at := uint64(now.UnixNano())
 	for {
@@ -165,7 +169,7 @@
 	}
 }
 
-// pool returns the pool of an upstream, brought up to the view.
+// pool returns the pool of an upstream, updated to the view if that is newer.
 func (e *Executor) pool(v *view.View, upstream int) *pool {
 	name := v.Upstreams[upstream].Name
 	e.mu.RLock()
@@ -190,8 +194,8 @@
 	return p
 }
 
-// SetView takes a new view. It is called for each view before queries use it,
-// and tells the queries in flight, which may have to ask split shards again.
+// SetView installs a new view. It is called for each view before queries use it,
+// and notifies the queries in flight, which may have to query split shards again.
 func (e *Executor) SetView(v *view.View) {
 	e.leafState.follow(v)
 	pools := e.allPools()
@@ -206,21 +210,23 @@
 	}
 }
 
-// register makes a query hear of new views.
+// register adds a query to those that are notified of new views and of the quarantine's
+// changes.
 func (e *Executor) register(r *run) {
 	e.runsMu.Lock()
 	defer e.runsMu.Unlock()
 	e.runs[r] = struct{}{}
 }
 
-// unregister ends that.
+// unregister removes a query that register added.
 func (e *Executor) unregister(r *run) {
 	e.runsMu.Lock()
 	defer e.runsMu.Unlock()
 	delete(e.runs, r)
 }
 
-// missingReason is the kernel's reason of a part, for people.
+// missingReason returns the reason why a part is missing, in words for callers and
+// operators.
 func missingReason(m query.Missing) string {
 	if m.Reason == "" {
 		return "no reply in time"
--- a/entry/executor/executor_test.go
+++ b/entry/executor/executor_test.go
@@ -22,20 +22,20 @@
 	_ "github.com/fuchsiaroad/fuchsiaroad/plugins" // registers the policies
 )
 
-// behaviour is what a fake leaf does with one attempt.
+// behaviour is how a fake leaf handles one attempt.
 type behaviour func(ctx context.Context, t leafclient.Target, r *leafclient.Request, sent func() bool) (*leafclient.Reply, error)
 
-// fakeLeaves stands in for the leaf client. It counts what ran where.
+// fakeLeaves is a fake leaf client. It counts the executions by leaf.
 type fakeLeaves struct {
-	mu      sync.Mutex
-	by      map[string]behaviour // by leaf ID
-	started int                  // attempts that reached a leaf and were not declined
-	ran     map[string]int       // the same by leaf
+	mu         sync.Mutex
+	behaviours map[string]behaviour // by leaf ID
+	executed   int                  // attempts that reached a leaf and were not declined
+	executedBy map[string]int       // the same by leaf ID
 }
 
 func (f *fakeLeaves) Run(ctx context.Context, t leafclient.Target, r *leafclient.Request, sent func() bool) (*leafclient.Reply, error) {
 	f.mu.Lock()
-	b := f.by[t.ID]
+	b := f.behaviours[t.ID]
 	f.mu.Unlock()
 	if b == nil {
 		b = f.serve(10*time.Millisecond, 1)
@@ -43,22 +43,23 @@
 	return b(ctx, t, r, sent)
 }
 
-// count notes an execution.
+// count counts an execution.
 func (f *fakeLeaves) count(leaf string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.started++
-	f.ran[leaf]++
+	f.executed++
+	f.executedBy[leaf]++
 }
 
-// executions is how many attempts ran.
+// executions returns how many attempts ran.
 func (f *fakeLeaves) executions() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.started
+	return f.executed
 }
 
-// serve answers after d with the newest of the versions, or declines another.
+// serve answers after d at the requested version, or at the last of the versions if none
+// was requested; it declines a version that it lacks.
 func (f *fakeLeaves) serve(d time.Duration, versions ...uint64) behaviour {
 	return func(ctx context.Context, t leafclient.Target, r *leafclient.Request, sent func() bool) (*leafclient.Reply, error) {
 		sent()
@@ -89,14 +90,14 @@
 	return nil, &leafclient.DialError{Leaf: t.ID, Err: errors.New("refused")}
 }
 
-// breaks runs and then breaks.
+// breaks runs the attempt and then closes the connection without a reply.
 func (f *fakeLeaves) breaks(_ context.Context, t leafclient.Target, _ *leafclient.Request, sent func() bool) (*leafclient.Reply, error) {
 	sent()
 	f.count(t.ID)
 	return nil, &leafclient.BrokenError{Leaf: t.ID, Cause: leafclient.CauseClosed, Err: io.ErrUnexpectedEOF}
 }
 
-// noObserver drops what replies show.
+// noObserver ignores what it is told.
 type noObserver struct{}
 
 func (noObserver) ObserveDraining(string, int64) {}
@@ -110,8 +111,8 @@
 	return nil, &ledger.UnavailableError{RetryAfter: time.Second}
 }
 
-// bench is an executor over fake leaves.
-type bench struct {
+// testExecutor is an executor over fake leaves.
+type testExecutor struct {
 	t        *testing.T
 	leaves   *fakeLeaves
 	executor *Executor
@@ -120,15 +121,15 @@
 	metrics  *telemetry.Metrics
 }
 
-// newBench makes an upstream of shards with two replicas each, and the
+// newTestExecutor returns an executor over an upstream of shards with two replicas each, and the
 // services "ask" (idempotent) and "note" (not idempotent).
-func newBench(t *testing.T, shards int) *bench {
+func newTestExecutor(t *testing.T, shards int) *testExecutor {
 	t.Helper()
 	log, err := telemetry.NewLog(io.Discard, telemetry.Options{Level: "info", Decisions: true})
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &bench{t: t, log: log, metrics: telemetry.NewMetrics(), leaves: &fakeLeaves{by: make(map[string]behaviour), ran: make(map[string]int)}}
+	b := &testExecutor{t: t, log: log, metrics: telemetry.NewMetrics(), leaves: &fakeLeaves{behaviours: make(map[string]behaviour), executedBy: make(map[string]int)}}
 	b.executor = New(Config{
 		LeafClient: b.leaves, LeafObserver: noObserver{}, Log: log, Metrics: b.metrics, Ledger: noLedger{},
 		Policies: Policies{Dispatch: dispatch.DefaultPolicies(), Repetition: "budgeted"},
@@ -140,13 +141,13 @@
 	return b
 }
 
-func (b *bench) close() {
+func (b *testExecutor) close() {
 	b.log.Close()
 	_ = b.metrics.Close()
 }
 
-// setView publishes a view with so many shards.
-func (b *bench) setView(sequence uint64, shards int) {
+// setView publishes a view with the given number of shards.
+func (b *testExecutor) setView(sequence uint64, shards int) {
 	u := document.Upstream{Name: "up", KeySpace: 1200, ConnectionLimit: 25, Slots: 2}
 	for i := range shards {
 		size := 1200 / uint64(shards)
@@ -168,13 +169,13 @@
 	b.executor.SetView(b.view)
 }
 
-// ask runs one request.
-func (b *bench) ask(ctx context.Context, service string) (*Response, error) {
+// execute runs one request.
+func (b *testExecutor) execute(ctx context.Context, service string) (*Response, error) {
 	return b.executor.Execute(ctx, b.request(service))
 }
 
-// request makes a request on the view in force.
-func (b *bench) request(service string) *Request {
+// request returns a request on the current view.
+func (b *testExecutor) request(service string) *Request {
 	now := time.Now()
 	return &Request{
 		View: b.view, Service: b.view.Services[service], Caller: &b.view.Document.Callers[0],
@@ -182,16 +183,16 @@
 	}
 }
 
-// TestCompleteAnswer covers all shards at one version although one replica of
-// each has no connection.
-func TestCompleteAnswer(t *testing.T) {
+// TestAnswerIsCompleteWithOneReplicaUnreachable checks that all shards are covered at one
+// version although one replica of each refuses connections.
+func TestAnswerIsCompleteWithOneReplicaUnreachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, 4)
+		b := newTestExecutor(t, 4)
 		defer b.close()
 		for i := range 4 {
-			b.leaves.by[fmt.Sprintf("l%d-a", i)] = noConnection
+			b.leaves.behaviours[fmt.Sprintf("l%d-a", i)] = noConnection
 		}
-		resp, err := b.ask(t.Context(), "ask")
+		resp, err := b.execute(t.Context(), "ask")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -202,10 +203,11 @@
 	})
 }
 
-// TestVersionMovesAsAWhole lets half of the leaves serve only the new version.
-func TestVersionMovesAsAWhole(t *testing.T) {
+// TestAllShardsMoveToOneVersion checks that the answer has one version while half of the
+// leaves serve only the new one.
+func TestAllShardsMoveToOneVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, 4)
+		b := newTestExecutor(t, 4)
 		defer b.close()
 		for i := range 4 {
 			for _, r := range []string{"a", "b"} {
@@ -214,11 +216,11 @@
 					versions = []uint64{2}
 				}
 				id := fmt.Sprintf("l%d-%s", i, r)
-				b.leaves.by[id] = b.leaves.serve(5*time.Millisecond, versions...)
-				b.executor.RecordStatus(id, leafclient.Said{Versions: []uint64{1}}) // what was last seen is old
+				b.leaves.behaviours[id] = b.leaves.serve(5*time.Millisecond, versions...)
+				b.executor.RecordStatus(id, leafclient.Said{Versions: []uint64{1}}) // the last reported versions are out of date
 			}
 		}
-		resp, err := b.ask(t.Context(), "ask")
+		resp, err := b.execute(t.Context(), "ask")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -234,38 +236,39 @@
 	})
 }
 
-// TestNotRunRanNowhere refuses when no leaf has a connection, at once.
-func TestNotRunRanNowhere(t *testing.T) {
+// TestRefusesAtOnceWhenNoLeafIsReachable checks that the refusal comes without waiting for
+// the deadline and that nothing ran.
+func TestRefusesAtOnceWhenNoLeafIsReachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, 2)
+		b := newTestExecutor(t, 2)
 		defer b.close()
 		for _, id := range []string{"l0-a", "l0-b", "l1-a", "l1-b"} {
-			b.leaves.by[id] = noConnection
+			b.leaves.behaviours[id] = noConnection
 		}
 		start := time.Now()
-		_, err := b.ask(t.Context(), "ask")
+		_, err := b.execute(t.Context(), "ask")
 		var refused *RefusedError
 		if !errors.As(err, &refused) || refused.RetryAfter <= 0 {
-			t.Fatalf("error %v, want a refusal with a time to come back", err)
+			t.Fatalf("error %v, want a refusal with a time to retry", err)
 		}
 		if n := b.leaves.executions(); n != 0 {
 			t.Errorf("refused as not run, but ran %d times", n)
 		}
 		if took := time.Since(start); took > 500*time.Millisecond {
-			t.Errorf("the refusal was held back for %v", took)
+			t.Errorf("the refusal took %v", took)
 		}
 	})
 }
 
-// TestNonIdempotentRunsOnce breaks the only attempt: the outcome is unknown,
-// and no second attempt follows.
+// TestNonIdempotentRunsOnce checks that a lost connection makes the outcome unknown and
+// that no second attempt follows.
 func TestNonIdempotentRunsOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, 1)
+		b := newTestExecutor(t, 1)
 		defer b.close()
-		b.leaves.by["l0-a"] = b.leaves.breaks
-		b.leaves.by["l0-b"] = b.leaves.breaks
-		resp, err := b.ask(t.Context(), "note")
+		b.leaves.behaviours["l0-a"] = b.leaves.breaks
+		b.leaves.behaviours["l0-b"] = b.leaves.breaks
+		resp, err := b.execute(t.Context(), "note")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -275,10 +278,11 @@
 	})
 }
 
-// TestNoClaimNoRun refuses a keyed request while the store takes no claim.
-func TestNoClaimNoRun(t *testing.T) {
+// TestRefusesKeyedRequestWithoutClaim checks that a request with a key is refused while
+// the store grants no claim.
+func TestRefusesKeyedRequestWithoutClaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, 1)
+		b := newTestExecutor(t, 1)
 		defer b.close()
 		now := time.Now()
 		_, err := b.executor.Execute(t.Context(), &Request{
@@ -287,7 +291,7 @@
 		})
 		var refused *RefusedError
 		if !errors.As(err, &refused) || refused.Reason != RefusedUnavailable || refused.RetryAfter != time.Second {
-			t.Fatalf("error %v, want unavailable with the store's time to come back", err)
+			t.Fatalf("error %v, want unavailable with the store's time to retry", err)
 		}
 		if n := b.leaves.executions(); n != 0 {
 			t.Errorf("ran %d times without a claim", n)
@@ -295,20 +299,21 @@
 	})
 }
 
-// TestCallerGone ends the query and its exchanges when the caller goes.
-func TestCallerGone(t *testing.T) {
+// TestQueryEndsWhenCallerDisconnects checks that the query and its exchanges end with the
+// caller.
+func TestQueryEndsWhenCallerDisconnects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, 4)
+		b := newTestExecutor(t, 4)
 		defer b.close()
 		for i := range 4 {
 			for _, r := range []string{"a", "b"} {
-				b.leaves.by[fmt.Sprintf("l%d-%s", i, r)] = b.leaves.serve(900*time.Millisecond, 1)
+				b.leaves.behaviours[fmt.Sprintf("l%d-%s", i, r)] = b.leaves.serve(900*time.Millisecond, 1)
 			}
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 		defer cancel()
 		start := time.Now()
-		_, _ = b.ask(ctx, "ask")
+		_, _ = b.execute(ctx, "ask")
 		if took := time.Since(start); took > 100*time.Millisecond {
 			t.Errorf("the query outlived its caller by %v", took-50*time.Millisecond)
 		}
@@ -319,15 +324,15 @@
 	})
 }
 
-// TestViewChangesUnderAQuery splits shards while a query waits for its replies.
-func TestViewChangesUnderAQuery(t *testing.T) {
+// TestQueryCompletesAcrossShardSplit splits shards while a query waits for its replies.
+func TestQueryCompletesAcrossShardSplit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, 2)
+		b := newTestExecutor(t, 2)
 		defer b.close()
 		done := make(chan *Response)
-		ask := b.request("ask")
+		request := b.request("ask")
 		go func() {
-			resp, err := b.executor.Execute(t.Context(), ask)
+			resp, err := b.executor.Execute(t.Context(), request)
 			if err != nil {
 				t.Error(err)
 			}
@@ -338,30 +343,30 @@
 		if resp := <-done; resp != nil && resp.Answer.Outcome != "complete" {
 			t.Errorf("answer %+v", resp.Answer)
 		}
-		resp, err := b.ask(t.Context(), "ask")
+		resp, err := b.execute(t.Context(), "ask")
 		if err != nil || len(resp.Answer.Results) != 4 {
 			t.Errorf("after the split: %+v, %v", resp, err)
 		}
 	})
 }
 
-// TestRecalledAttemptIsNotSent has leaves whose connection comes only after the
-// query was answered: the answer "not run" must stay true.
+// TestRecalledAttemptIsNotSent checks that the answer "not run" stays true when the
+// connections to the leaves are established only after the query was answered.
 func TestRecalledAttemptIsNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, 1)
+		b := newTestExecutor(t, 1)
 		defer b.close()
-		late := func(_ context.Context, t leafclient.Target, r *leafclient.Request, sent func() bool) (*leafclient.Reply, error) {
-			time.Sleep(2 * time.Second) // past the deadline, deaf to the context
+		connectLate := func(_ context.Context, t leafclient.Target, r *leafclient.Request, sent func() bool) (*leafclient.Reply, error) {
+			time.Sleep(2 * time.Second) // past the deadline; ignores the context
 			if !sent() {
 				return nil, &leafclient.DialError{Leaf: t.ID, Err: leafclient.ErrRecalled}
 			}
 			b.leaves.count(t.ID)
 			return &leafclient.Reply{Version: 1, Ranges: []keyrange.Range{r.Range}}, nil
 		}
-		b.leaves.by["l0-a"], b.leaves.by["l0-b"] = late, late
+		b.leaves.behaviours["l0-a"], b.leaves.behaviours["l0-b"] = connectLate, connectLate
 		for _, service := range []string{"ask", "note"} {
-			_, err := b.ask(t.Context(), service)
+			_, err := b.execute(t.Context(), service)
 			var refused *RefusedError
 			if !errors.As(err, &refused) {
 				t.Errorf("%s: %v, want a refusal", service, err)
@@ -374,17 +379,17 @@
 	})
 }
 
-// TestQueriesInProgressAreBounded sends more at once than may be in progress.
+// TestQueriesInProgressAreBounded checks that queries beyond MaxQueries are refused.
 func TestQueriesInProgressAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, 1)
+		b := newTestExecutor(t, 1)
 		defer b.close()
 		b.executor.config.MaxQueries = 3
 		var refusals atomic.Int64
 		var wg sync.WaitGroup
 		for range 5 {
 			wg.Go(func() {
-				_, err := b.ask(t.Context(), "ask")
+				_, err := b.execute(t.Context(), "ask")
 				var refused *RefusedError
 				if errors.As(err, &refused) && refused.Reason == RefusedOverloaded && refused.RetryAfter > 0 {
 					refusals.Add(1)
--- a/entry/executor/gather.go
+++ b/entry/executor/gather.go
@@ -13,53 +13,53 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/view"
 )
 
-// Gatherer has parts of a query gathered by other instances.
+// Gatherer delegates parts of a query to other instances, which gather them.
 type Gatherer interface {
-	// Plan says which parts of a request others are to gather; nil: none. The shards
-	// that are away would be asked of leaves in other zones.
+	// Plan returns the groups of parts of a request that other instances are to gather,
+	// nil for none. away lists the shards whose leaves would be in other zones.
 	Plan(r *Request, upstream int, away []dispatch.CrossZoneShard) []Group
-	// Gather has a group of Plan's gathered and returns with its end; each reply is
-	// given to got. Other instances run nothing before sent has been called, once, and
-	// has returned true. The error is a *NotGatheredError where nothing has run; after
-	// any other the parts may have run.
+	// Gather has another instance gather a group of Plan's and returns when that is over;
+	// it passes each reply to got. It calls sent once, and other instances run nothing
+	// unless sent has returned true. The error is a *NotGatheredError if nothing has run;
+	// after any other error the parts may have run.
 	Gather(ctx context.Context, r *Request, g Group, sent func() bool, got func(*GatherReply)) error
 }
 
-// Group is parts of a query that an instance of a zone is to gather.
+// Group is a set of parts of a query that an instance of a zone is to gather.
 type Group struct {
 	query.Group
 	Zone string
 }
 
-// GatherReply is what another instance has gathered since its last reply.
+// GatherReply is what another instance has gathered since its previous reply.
 type GatherReply struct {
 	Version uint64 // of the index
 	Ranges  []keyrange.Range
-	// HasMore says that more replies may come.
+	// HasMore is set if more replies may come.
 	HasMore bool
-	// Sent, Hedges and Retries count its attempts.
+	// Sent, Hedges and Retries count that instance's attempts.
 	Sent, Hedges, Retries int
-	// Attachment is handed on with the answer.
+	// Attachment is opaque data that is passed on with the answer.
 	Attachment any
 }
 
-// NotGatheredError says that no other instance ran anything of a group.
+// NotGatheredError means that no other instance ran any part of a group.
 type NotGatheredError struct{ Err error }
 
 // Error implements error.
 func (e *NotGatheredError) Error() string { return "group was not gathered: " + e.Err.Error() }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *NotGatheredError) Unwrap() error { return e.Err }
 
-// offeredGroup is one offered group. It is guarded by the run's lock.
+// offeredGroup is a group that was offered to another instance. The run's lock guards it.
 type offeredGroup struct {
 	cancel    context.CancelFunc
 	withdrawn bool
 }
 
-// planGroups says what others are to gather. What is gathered for another instance is
-// not handed on again, nor is a request that may break leaves.
+// planGroups returns the groups that other instances are to gather. A request that is
+// gathered for another instance is not delegated again, nor is one that may crash leaves.
 func (e *Executor) planGroups(req *Request, mode quarantine.Mode) []Group {
 	if e.config.Gatherer == nil || req.OnlyShards != nil || mode != quarantine.ModeRun || len(req.Service.Upstreams) != 1 {
 		return nil
@@ -72,8 +72,8 @@
 	return e.config.Gatherer.Plan(req, upstream, away)
 }
 
-// crossZoneShards lists the shards that would be asked of leaves in other zones, by their
-// indexes in the view; false where the pool goes by another view already.
+// crossZoneShards lists the shards for which leaves in other zones would be asked, by
+// their indexes in the view; false if the pool has another view already.
 func (p *pool) crossZoneShards(v *view.View) ([]dispatch.CrossZoneShard, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -83,7 +83,7 @@
 	return p.machine.CrossZoneShards(time.Now()), true
 }
 
-// queryGroups are the groups as the kernel knows them.
+// queryGroups returns the groups in the kernel's type.
 func queryGroups(groups []Group) []query.Group {
 	out := make([]query.Group, 0, len(groups))
 	for _, g := range groups {
@@ -92,7 +92,7 @@
 	return out
 }
 
-// offerGroup has a group gathered. The run's lock is held.
+// offerGroup starts the gathering of a group. The run's lock is held.
 func (r *run) offerGroup(o query.OfferGroup) {
 	ctx, cancel := context.WithCancel(r.work)
 	g := &offeredGroup{cancel: cancel}
@@ -100,7 +100,7 @@
 	go r.gatherGroup(ctx, o, g)
 }
 
-// gatherGroup carries one group to its end and reports it to the query.
+// gatherGroup has one group gathered and reports the result to the query.
 func (r *run) gatherGroup(ctx context.Context, o query.OfferGroup, g *offeredGroup) {
 	defer g.cancel()
 	group := r.groups[o.Group]
@@ -125,8 +125,9 @@
 	r.mail.put(query.Broken{Attempt: o.Attempt, Leaf: view.NoLeaf, Cause: "gathering instance lost"})
 }
 
-// groupOutcome is a group's outcome for the metrics; empty where the query ended before
-// anything came. A group whose rest the answer did not wait for was gathered.
+// groupOutcome returns a group's outcome for the metrics; empty if the query ended before
+// any reply came. A group counts as gathered if some replies came and the answer didn't
+// wait for the rest.
 func groupOutcome(ctx context.Context, err error, replies int) telemetry.GroupOutcome {
 	var not *NotGatheredError
 	switch {
@@ -152,8 +153,8 @@
 	})
 }
 
-// confirmGroupSend tells the machine that another instance may run the group from now on,
-// and reports whether it may; see maySend.
+// confirmGroupSend tells the machine that another instance may run the group from this
+// moment, and reports whether it may; see confirmSend.
 func (r *run) confirmGroupSend(id query.AttemptID, g *offeredGroup) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -164,7 +165,7 @@
 	return !g.withdrawn
 }
 
-// logGroupFailure logs why a group brought nothing.
+// logGroupFailure logs why a group was not gathered, or not in full.
 func (r *run) logGroupFailure(ctx context.Context, err error) {
 	class := telemetry.Failure
 	if ctx.Err() != nil {
--- a/entry/executor/gather_test.go
+++ b/entry/executor/gather_test.go
@@ -8,8 +8,8 @@
 	"github.com/fuchsiaroad/fuchsiaroad/entry/telemetry"
 )
 
-// TestGroupOutcome counts a group whose rest nobody waited for as gathered, and one of
-// which nothing was needed not at all.
+// TestGroupOutcome checks that a group with replies counts as gathered when the query ended
+// without waiting for the rest, and that a group without replies then isn't counted.
 func TestGroupOutcome(t *testing.T) {
 	ended, cancel := context.WithCancel(t.Context())
 	cancel()
--- a/entry/executor/leaf_loss.go
+++ b/entry/executor/leaf_loss.go
@@ -6,17 +6,19 @@
 	"github.com/fuchsiaroad/fuchsiaroad/entry/telemetry"
 )
 
-// sawRun notes that a leaf ran the request to its end: it breaks none.
+// recordCompletion records that a leaf ran the request to completion, so that the request
+// isn't suspected of crashing leaves.
 func (r *run) recordCompletion() {
 	if !r.completed.Swap(true) {
 		r.executor.quarantine.recordSuccess(r.fingerprint)
 	}
 }
 
-// lost notes that the connection to a leaf ended under an attempt, and reports
-// whether that counts as the leaf's crash. It does once the request is suspected: a
-// fan-out is when half of the shards that it asks have been lost and none has answered, since what
-// breaks a leaf breaks each that runs it, and fewer losses have other causes.
+// recordLeafLoss records that the connection to a leaf ended under an attempt, and reports
+// whether that counts as a crash of the leaf. It does once the request is suspected. A
+// fan-out is suspected when as many leaves were lost as half of the shards that this
+// instance queries, and none has replied: a request that crashes a leaf crashes each leaf
+// that runs it, and fewer losses have other causes.
 func (e *Executor) recordLeafLoss(a *attempt) bool {
 	r := a.run
 	switch {
@@ -25,13 +27,13 @@
 	case r.suspected.Load():
 		return true
 	}
-	enough := max(e.config.SuspectAfterLosses, int(r.directShards.Load())/2)
-	suspect, actions := e.quarantine.recordLoss(r.fingerprint, e.leafState.incarnation(a.leafID), enough, time.Now())
+	threshold := max(e.config.SuspectAfterLosses, int(r.directShards.Load())/2)
+	suspect, actions := e.quarantine.recordLoss(r.fingerprint, e.leafState.incarnation(a.leafID), threshold, time.Now())
 	if !suspect {
 		return false
 	}
 	r.suspected.Store(true)
-	e.logDecision(a, telemetry.Decision{Part: prefixQuery, What: "suspect", Leaf: a.leafID, Why: r.fingerprint, More: []any{"lost", enough}})
+	e.logDecision(a, telemetry.Decision{Part: prefixQuery, What: "suspect", Leaf: a.leafID, Why: r.fingerprint, More: []any{"lost", threshold}})
 	e.applyQuarantineActions(actions)
 	return true
 }
--- a/entry/executor/leaf_state.go
+++ b/entry/executor/leaf_state.go
@@ -11,25 +11,25 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/view"
 )
 
-// leafState is what replies showed of the leaves, for all queries of this
-// entry: the index versions they serve, when they last spoke and when they last
-// broke a connection. It guards the kernel's tracker by a lock.
+// leafState is what replies showed about the leaves, for all queries of this
+// instance: the index versions that they serve, when they last replied and when a
+// connection to them last broke. A lock guards the kernel's tracker.
 type leafState struct {
 	mu           sync.Mutex
 	view         *view.View
 	tracker      *snapshot.Tracker
 	indexByID    map[string]int // leaf ID to index in view
 	lastReply    map[string]time.Time
-	lastBreak    map[string]time.Time // when a connection to the leaf last broke
-	startMS      map[string]int64     // the start that the leaf last reported
-	incarnations map[string]int       // how often the leaf has served again after a break
+	lastBreak    map[string]time.Time // when a connection to the leaf last broke, by leaf ID
+	startMS      map[string]int64     // the start that the leaf last reported, in Unix milliseconds
+	incarnations map[string]int       // how often the leaf has replied again after a break
 }
 
 func newLeafState() *leafState {
 	return &leafState{lastReply: make(map[string]time.Time), lastBreak: make(map[string]time.Time), startMS: make(map[string]int64), incarnations: make(map[string]int)}
 }
 
-// follow moves the tracker to a newer view.
+// setView moves the tracker to a newer view and drops the leaves that it lacks.
 func (s *leafState) follow(v *view.View) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -56,9 +56,9 @@
 	s.tracker.SetView(v)
 }
 
-// saw notes what a leaf says of itself, and returns whether it reported a start that was
-// not known.
-func (s *leafState) recordStatus(leafID string, said leafclient.Said, now time.Time) (started bool) {
+// recordStatus records what a leaf reported about itself, and returns whether it reported
+// a start that was not known.
+func (s *leafState) recordStatus(leafID string, status leafclient.Said, now time.Time) (started bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	i, ok := s.indexByID[leafID]
@@ -69,39 +69,40 @@
 		s.incarnations[leafID]++
 	}
 	s.lastReply[leafID] = now
-	if len(said.Versions) > 0 {
-		s.tracker.Observe(i, said.Versions)
+	if len(status.Versions) > 0 {
+		s.tracker.Observe(i, status.Versions)
 	}
-	if said.Born == 0 || said.Born == s.startMS[leafID] {
+	if status.Born == 0 || status.Born == s.startMS[leafID] {
 		return false
 	}
-	s.startMS[leafID] = said.Born
+	s.startMS[leafID] = status.Born
 	return true
 }
 
-// sawBreak notes that a connection to the leaf broke.
+// recordBreak records that a connection to the leaf broke.
 func (s *leafState) recordBreak(leafID string, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lastBreak[leafID] = now
 }
 
-// life is the leaf's present one, or the one that it has just lost.
+// incarnation returns the leaf's current incarnation, or, after a break, the one that
+// ended with it.
 func (s *leafState) incarnation(leafID string) quarantine.Incarnation {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return quarantine.Incarnation{Leaf: leafID, Number: s.incarnations[leafID]}
 }
 
-// up reports whether the leaf has answered since it last broke a connection.
+// isUp reports whether the leaf has answered since it last broke a connection.
 func (s *leafState) isUp(leafID string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return !s.lastReply[leafID].Before(s.lastBreak[leafID])
 }
 
-// lastReplyOf is when the leaf last said something; the zero time if it has
-// broken a connection since.
+// lastReplyTime returns when the leaf last replied; the zero time if a connection to it
+// has broken since.
 func (s *leafState) lastReplyTime(leafID string) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -111,7 +112,7 @@
 	return s.lastReply[leafID]
 }
 
-// versions is the leaves' state as one query sees it, by the indexes of its view.
+// versionSource is the leaves' state for one query, by the leaf indexes of its view.
 type versionSource struct {
 	state *leafState
 	view  *view.View
@@ -157,7 +158,8 @@
 	return ok && s.state.tracker.Passed(i, version)
 }
 
-// index turns a leaf's index in the query's view into the tracker's. The lock is held.
+// trackerIndex converts a leaf's index in the query's view to that in the tracker's view.
+// It reports false if the tracker's view lacks the leaf. The lock is held.
 func (s *versionSource) trackerIndex(leaf int) (int, bool) {
 	if s.view == s.state.view {
 		return leaf, true
--- a/entry/executor/mailbox.go
+++ b/entry/executor/mailbox.go
@@ -6,8 +6,8 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/query"
 )
 
-// mailbox holds a query's events without bound, so that no sender ever waits
-// on the query's goroutine. It is bounded in effect by the query's attempts.
+// mailbox is an unbounded queue of a query's events, so that no sender ever waits for the
+// query's goroutine. The number of the query's attempts bounds its length in effect.
 type mailbox struct {
 	mu     sync.Mutex
 	events []query.Event
@@ -19,7 +19,7 @@
 	return &mailbox{wake: make(chan struct{}, 1)}
 }
 
-// put adds an event; after close it drops it.
+// put adds an event, or drops it after close.
 func (m *mailbox) put(ev query.Event) {
 	m.mu.Lock()
 	if m.closed {
@@ -34,7 +34,7 @@
 	}
 }
 
-// take empties the mailbox into buf.
+// take moves all events to buf, overwriting it, and returns them.
 func (m *mailbox) take(buf []query.Event) []query.Event {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -43,7 +43,7 @@
 	return buf
 }
 
-// close makes later puts fail.
+// close drops all events; later events are dropped too.
 func (m *mailbox) close() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/entry/executor/own_delay.go
+++ b/entry/executor/own_delay.go
@@ -8,25 +8,25 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/query"
 )
 
-// margins guards this instance's estimate of its own delay by a lock.
+// ownDelay estimates how late this instance writes answers. A lock guards the estimator.
 type ownDelay struct {
 	mu        sync.Mutex
 	estimator margin.DelayEstimator
 }
 
-// before is how long before its objective an answer is due, by the way from and to
-// its caller; 0 without an objective.
-func (m *ownDelay) settleMargin(objective, way time.Duration) time.Duration {
+// settleMargin returns how long before the objective an answer must be settled, given the
+// network delay from and to its caller; 0 without an objective.
+func (m *ownDelay) settleMargin(objective, networkDelay time.Duration) time.Duration {
 	if objective <= 0 {
 		return 0
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return margin.ForObjective(objective, way, m.estimator.UpperBound(margin.InitialOwnDelay))
+	return margin.ForObjective(objective, networkDelay, m.estimator.UpperBound(margin.InitialOwnDelay))
 }
 
-// RecordWritten learns from an answer that has been written. Only one that was due at
-// a set time shows how late this instance is.
+// RecordWritten adds an answer that has been written to the estimate. Only an answer that
+// was settled at a planned time shows how late this instance is.
 func (e *Executor) RecordWritten(a *query.Answer, at time.Time) {
 	if a == nil || a.SettledAt.IsZero() {
 		return
--- a/entry/executor/policies.go
+++ b/entry/executor/policies.go
@@ -10,13 +10,13 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/view"
 )
 
-// Policies names the plug-ins that decide.
+// Policies holds the registered names of the policies to use.
 type Policies struct {
 	Dispatch   dispatch.Policies
 	Repetition string
 }
 
-// Check reports a name that no plug-in has.
+// Check returns an error if a name is not registered.
 func (p Policies) Check() error {
 	if _, err := plugin.Routings.Get(p.Dispatch.Routing); err != nil {
 		return err
@@ -43,15 +43,15 @@
 // hashSeed makes the seeds of one process differ from those of another.
 var hashSeed = maphash.MakeSeed()
 
-// repetition guards a service's repetition policy by a lock. It outlives
-// queries, since budgets are earned over many of them.
+// repetition is a service's repetition policy, guarded by a lock. It outlives single
+// queries, since the budgets for hedges and retries are earned over many of them.
 type repetition struct {
 	mu     sync.Mutex
 	policy plugin.Repetition
 	config plugin.RepetitionConfig
 }
 
-// newRepetition makes the policy of the given name.
+// newRepetition returns the policy of the given name.
 func newRepetition(name string, config plugin.RepetitionConfig) *repetition {
 	newPolicy, err := plugin.Repetitions.Get(name)
 	if err != nil {
@@ -74,7 +74,7 @@
 	return r.policy.TakeRetry(now)
 }
 
-// deposit credits the first sub-requests of a query.
+// deposit credits the budgets with the first attempts of a query, one for each of n shards.
 func (r *repetition) deposit(n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -83,14 +83,15 @@
 	}
 }
 
-// shed reports that work was refused for overload.
+// recordShed records that an attempt was refused because of overload.
 func (r *repetition) recordShed(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.policy.RecordShed(now)
 }
 
-// hedgeAfter gives the hedge delay of an upstream, by the indexes of the query's view.
+// hedgeDelay returns a function that returns the hedge delay of an upstream, by its index
+// in the query's view; 0 means no hedge.
 func (r *repetition) hedgeDelay(q *run) func(int) time.Duration {
 	return func(upstream int) time.Duration {
 		p := q.pool(upstream)
--- a/entry/executor/pool.go
+++ b/entry/executor/pool.go
@@ -17,7 +17,7 @@
 type pool struct {
 	executor *Executor
 	name     string
-	sequence atomic.Uint64 // of view, to see without the lock that it is new enough
+	sequence atomic.Uint64 // of view, for the check without the lock that view is new enough
 
 	mu       sync.Mutex
 	machine  *dispatch.Machine
@@ -32,7 +32,7 @@
 type attempt struct {
 	ticket  dispatch.Ticket
 	run     *run
-	view    *view.View // by whose indexes the offer speaks
+	view    *view.View // the indexes in offer refer to it
 	pool    *pool
 	offer   query.Offer
 	token   string // unguessable, on the wire
@@ -43,7 +43,7 @@
 	withdrawn bool // guarded by the run's lock
 }
 
-// newPool makes the pool of an upstream.
+// newPool returns the pool of an upstream.
 func newPool(e *Executor, name string, v *view.View, upstream int) *pool {
 	p := &pool{executor: e, name: name, view: v, upstream: upstream, attempts: make(map[dispatch.Ticket]*attempt)}
 	machine, err := dispatch.New(e.config.Policies.dispatchConfig(e.config, v, upstream))
@@ -55,8 +55,8 @@
 	return p
 }
 
-// setView moves the pool to a newer view. A view without the upstream leaves
-// the pool at its last view, to finish what it has.
+// setView moves the pool to a newer view. A view without the upstream is ignored, so
+// that the pool can complete the attempts that it has.
 func (p *pool) setView(v *view.View) {
 	if v.Sequence <= p.sequence.Load() {
 		return
@@ -72,7 +72,7 @@
 	})
 }
 
-// enqueue queues an attempt.
+// enqueue queues an attempt, or tells the query that no leaf serves its shard.
 func (p *pool) enqueue(a *attempt) {
 	known := true
 	p.handle(func() dispatch.Event {
@@ -105,8 +105,9 @@
 	return 0, false
 }
 
-// translateLeaves turns leaf indexes of another view into the pool's. A leaf that the query's view lacks,
-// as only the pool's newer view had it, is left out.
+// translateLeaves converts leaf indexes of the view from into those of the pool's view. It
+// leaves out NoLeaf, which stands for a leaf that only the pool's newer view has, and
+// leaves that the pool's view lacks.
 func (p *pool) translateLeaves(from *view.View, leaves []int) []int {
 	if from == p.view || len(leaves) == 0 {
 		return leaves
@@ -124,7 +125,7 @@
 	return out
 }
 
-// withdraw takes a queued attempt back, or cancels a running one.
+// withdraw removes a queued attempt, or cancels a running one.
 func (p *pool) withdraw(t dispatch.Ticket) {
 	var cancel context.CancelFunc
 	p.handle(func() dispatch.Event {
@@ -143,7 +144,7 @@
 	}
 }
 
-// finishAttempt reports the end of a running attempt.
+// finishAttempt reports the end of a running attempt to the machine.
 func (p *pool) finishAttempt(a *attempt, outcome dispatch.Outcome, service time.Duration) {
 	p.handle(func() dispatch.Event {
 		delete(p.attempts, a.ticket)
@@ -154,7 +155,7 @@
 	})
 }
 
-// tick lets the machine do time-driven work.
+// tick lets the machine do its timed work.
 func (p *pool) tick() {
 	p.handle(func() dispatch.Event {
 		p.wakeAt = time.Time{}
@@ -162,7 +163,7 @@
 	})
 }
 
-// dispatchedAttempt is a dispatched attempt that runs once the lock is given back.
+// dispatchedAttempt is an attempt that starts to run once the lock is released.
 type dispatchedAttempt struct {
 	attempt  *attempt
 	ctx      context.Context
@@ -171,8 +172,8 @@
 	dialCost time.Duration
 }
 
-// handle gives the machine an event that is made under the lock, nil for none, and carries out
-// its actions.
+// handle passes an event to the machine and performs the machine's actions. event is called
+// under the lock and may return nil for no event.
 func (p *pool) handle(event func() dispatch.Event) {
 	starts, refused := p.handleUnderLock(event)
 	for _, s := range starts {
@@ -183,8 +184,8 @@
 	}
 }
 
-// handleUnderLock does the part under the lock. The lock is released after a panic too: net/http recovers
-// those of its handlers.
+// handleUnderLock is the part of handle that holds the lock. The lock is released after a
+// panic too: net/http recovers the panics of its handlers.
 func (p *pool) handleUnderLock(event func() dispatch.Event) (starts []dispatchedAttempt, refused []refusedAttempt) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -211,7 +212,7 @@
 	return starts, refused
 }
 
-// markRunning marks an attempt as running on the leaf.
+// markRunning marks an attempt as running on the leaf that the machine chose.
 func (p *pool) markRunning(d dispatch.Dispatch, now time.Time) (dispatchedAttempt, bool) {
 	a, ok := p.attempts[d.Ticket]
 	if !ok {
@@ -237,7 +238,7 @@
 	r.attempt.run.mail.put(query.NotSent{Attempt: r.attempt.offer.Attempt, Reason: r.action.Reason, RetryAfter: r.action.RetryAfter})
 }
 
-// scheduleWake sets the pool's one timer to the earliest wish.
+// scheduleWake sets the pool's timer, of which there is one, to the earliest time asked for.
 func (p *pool) scheduleWake(at, now time.Time) {
 	if !p.wakeAt.IsZero() && !at.Before(p.wakeAt) {
 		return
--- a/entry/executor/pool_test.go
+++ b/entry/executor/pool_test.go
@@ -9,7 +9,7 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/view"
 )
 
-// viewOf is a view of one upstream of one shard with the given leaves.
+// viewOf returns a view of one upstream of one shard with the given leaves.
 func viewOf(generation uint64, leaves ...string) *view.View {
 	shard := document.Shard{Range: keyrange.Range{To: 1}}
 	for _, id := range leaves {
@@ -19,22 +19,24 @@
 	return view.Build(generation, "", doc, func(string) bool { return false }, func(*document.Upstream, string) int { return 1 })
 }
 
-// TestLeafThatAQuerysViewLacksDoesNotHangTheInstance retries a part, at a pool with another view, that
-// was tried at a leaf which the query's view lacks.
-func TestLeafThatAQuerysViewLacksDoesNotHangTheInstance(t *testing.T) {
+// TestTranslateLeavesSkipsLeafMissingInQueryView guards against a panic under the pool's lock,
+// which hung the instance: a retry avoids a leaf that only the pool's newer view has, and
+// which the query's view has as NoLeaf.
+func TestTranslateLeavesSkipsLeafMissingInQueryView(t *testing.T) {
 	p := &pool{view: viewOf(2, "b", "a")}
-	query := viewOf(1, "a")
-	if got := p.translateLeaves(query, []int{view.NoLeaf, 0}); len(got) != 1 || got[0] != p.view.Upstreams[0].LeafIndex("a") {
-		t.Errorf("avoided are %v", got)
+	queryView := viewOf(1, "a")
+	if got := p.translateLeaves(queryView, []int{view.NoLeaf, 0}); len(got) != 1 || got[0] != p.view.Upstreams[0].LeafIndex("a") {
+		t.Errorf("avoided leaves are %v", got)
 	}
 }
 
-// TestPanicDoesNotKeepThePoolLocked recovers a panic, as the HTTP server does.
-func TestPanicDoesNotKeepThePoolLocked(t *testing.T) {
+// TestPanicReleasesPoolLock recovers a panic, as the HTTP server does, and checks that the
+// lock is free.
+func TestPanicReleasesPoolLock(t *testing.T) {
 	p := &pool{}
 	func() {
 		defer func() { _ = recover() }()
-		p.handle(func() dispatch.Event { panic("played") })
+		p.handle(func() dispatch.Event { panic("test") })
 	}()
 	if !p.mu.TryLock() {
 		t.Error("the lock is still held")
--- a/entry/executor/quarantine.go
+++ b/entry/executor/quarantine.go
@@ -15,8 +15,8 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/query"
 )
 
-// quarantineState keeps what the fleet knows of requests that break leaves. It
-// guards the kernel's machine by a lock.
+// quarantineState holds what the fleet knows of requests that crash leaves. A lock guards
+// the kernel's machine and the loss counter.
 type quarantineState struct {
 	key     []byte
 	mu      sync.Mutex
@@ -24,7 +24,7 @@
 	losses  quarantine.LossCounter
 }
 
-// quarantineConfig sets times and bounds of the quarantine.
+// quarantineConfig holds the default times and limits of the quarantine.
 var quarantineConfig = quarantine.Config{
 	QuarantineDuration: defaultQuarantineDuration,
 	SuspectDuration:    2 * time.Minute,
@@ -34,39 +34,40 @@
 }
 
 const (
-	// defaultQuarantineFor is how long a request that broke two leaves, one of them
-	// alone, is refused.
+	// defaultQuarantineDuration is how long a request is refused that crashed two leaves,
+	// one of them while it was the only request there.
 	defaultQuarantineDuration = 10 * time.Minute
-	// strikesFor is how long the loss of a leaf counts against the request that it ran.
+	// lossWindow is how long after the last loss a request's lost leaves count.
 	lossWindow = time.Minute
-	// mostStrikes bounds the requests with losses that are remembered.
+	// maxRequestsWithLosses is the maximum of requests whose losses are tracked.
 	maxRequestsWithLosses = 4096
 )
 
-// newQuarantineState makes it empty. All entries must have the same key, so that they
-// name a request alike.
-func newQuarantineState(key []byte, lasts time.Duration) *quarantineState {
+// newQuarantineState returns an empty state. All instances must have the same key, so that
+// they compute the same fingerprint of a request.
+func newQuarantineState(key []byte, duration time.Duration) *quarantineState {
 	config := quarantineConfig
-	if lasts > 0 {
-		config.QuarantineDuration = lasts
+	if duration > 0 {
+		config.QuarantineDuration = duration
 	}
 	return &quarantineState{
 		key: key, machine: quarantine.New(config), losses: quarantine.LossCounter{Window: lossWindow, MaxRequests: maxRequestsWithLosses},
 	}
 }
 
-// lost notes a leaf that was lost under a request. It reports whether that makes the
-// request a suspect, with what is to be reported of it.
-func (s *quarantineState) recordLoss(fingerprint string, leaf quarantine.Incarnation, enough int, now time.Time) (suspect bool, actions []quarantine.Action) {
+// recordLoss records a leaf that was lost under a request. It reports whether the request
+// is suspected of crashing leaves, as threshold incarnations are lost, with the machine's
+// actions.
+func (s *quarantineState) recordLoss(fingerprint string, leaf quarantine.Incarnation, threshold int, now time.Time) (suspect bool, actions []quarantine.Action) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.losses.RecordLoss(fingerprint, leaf, enough, now) {
+	if !s.losses.RecordLoss(fingerprint, leaf, threshold, now) {
 		return false, nil
 	}
 	return true, slices.Clone(s.machine.Handle(quarantine.AttemptEnded{Fingerprint: fingerprint, Leaf: leaf.Leaf, Crashed: true}, now))
 }
 
-// ran notes that a leaf ran a request to its end.
+// recordSuccess records that a leaf ran a request to completion.
 func (s *quarantineState) recordSuccess(fingerprint string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,8 +76,8 @@
 	}
 }
 
-// fingerprint names a request by a keyed hash of caller, service and body: it
-// can be sent to peers and logged without saying anything of the request.
+// fingerprint returns a keyed hash of caller, service and body: it can be sent to
+// peers and logged without revealing anything of the request.
 func (s *quarantineState) fingerprint(r *Request) string {
 	mac := hmac.New(sha256.New, s.key)
 	mac.Write([]byte(r.Caller.Name))
@@ -93,7 +94,8 @@
 // fingerprintBytes is the length of a fingerprint: 128 bits.
 const fingerprintBytes = 16
 
-// seed is the fingerprint's hash, which chooses the part that runs alone.
+// canarySeed returns the fingerprint's hash, which selects the part that runs as the
+// canary.
 func canarySeed(fingerprint string) uint64 { return xxhash.Sum64String(fingerprint) }
 
 // admit decides how a request may run.
@@ -103,19 +105,19 @@
 	return s.machine.Admit(fingerprint, r.Service.Shards, r.Service.Config.CanaryAbove, now)
 }
 
-// observe notes how an attempt ended.
+// observe passes the end of an attempt to the machine.
 func (s *quarantineState) observe(o quarantine.AttemptEnded, now time.Time) []quarantine.Action {
 	return s.handle(o, now)
 }
 
-// handle gives an event to the machine.
+// handle passes an event to the machine and returns its actions.
 func (s *quarantineState) handle(ev quarantine.Event, now time.Time) []quarantine.Action {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.machine.Handle(ev, now))
 }
 
-// records lists what to tell peers.
+// records returns the records to send to peers.
 func (s *quarantineState) records(now time.Time) []peerapi.Quarantined {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -126,11 +128,11 @@
 	return out
 }
 
-// maxLeftMS bounds a peer's word on how long a record lasts; the kernel bounds
-// it further.
+// maxRemainingMS limits how long a record from a peer may still last, in milliseconds;
+// the kernel limits it further.
 const maxRemainingMS = int64(24 * time.Hour / time.Millisecond)
 
-// merge takes in a peer's records.
+// merge merges a peer's records.
 func (s *quarantineState) merge(list []peerapi.Quarantined, now time.Time) []quarantine.Action {
 	records := make([]quarantine.Record, 0, len(list))
 	for _, q := range list {
@@ -140,12 +142,12 @@
 	return s.handle(quarantine.RecordsReceived{Records: records}, now)
 }
 
-// lift lets a fingerprint run again.
+// lift ends the quarantine of a fingerprint.
 func (s *quarantineState) lift(fingerprint string, now time.Time) []quarantine.Action {
 	return s.handle(quarantine.Lifted{Fingerprint: fingerprint}, now)
 }
 
-// carryOut tells the peers and the running queries what the quarantine learnt.
+// applyQuarantineActions notifies the peers and the running queries of changes.
 func (e *Executor) applyQuarantineActions(actions []quarantine.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
@@ -157,7 +159,7 @@
 	}
 }
 
-// tellRuns tells the running queries of a fingerprint what has become of it.
+// notifyRuns notifies the running queries of a fingerprint of its new phase.
 func (e *Executor) notifyRuns(c quarantine.PhaseChanged) {
 	var ev query.Event
 	switch c.Phase {
@@ -177,16 +179,16 @@
 	}
 }
 
-// Quarantine lists fingerprints under suspicion or in quarantine, to tell peers
+// Quarantine returns the fingerprints that are suspected or in quarantine, for peers
 // and operators.
 func (e *Executor) Quarantine() []peerapi.Quarantined { return e.quarantine.records(time.Now()) }
 
-// MergeQuarantine takes in a peer's list.
+// MergeQuarantine merges a peer's list.
 func (e *Executor) MergeQuarantine(list []peerapi.Quarantined) {
 	e.applyQuarantineActions(e.quarantine.merge(list, time.Now()))
 }
 
-// LiftQuarantine lets a fingerprint run again.
+// LiftQuarantine ends the quarantine of a fingerprint.
 func (e *Executor) LiftQuarantine(fingerprint string) {
 	e.applyQuarantineActions(e.quarantine.lift(fingerprint, time.Now()))
 }
--- a/entry/executor/query_log.go
+++ b/entry/executor/query_log.go
@@ -9,7 +9,7 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/view"
 )
 
-// maxLoggedMissing bounds the parts that a line names.
+// maxLoggedMissing is the maximum of missing parts that a log line names.
 const maxLoggedMissing = 12
 
 // callerRequestID is the caller's own callerRequestID of the request, "" if it gave none.
@@ -20,11 +20,11 @@
 	return r.Forwarded.ID
 }
 
-// shardName names an attempt's shard for the log: by its own name where it has
-// one, else by upstream and range.
+// shardName returns the name of an attempt's shard for the log; see partName.
 func (a *attempt) shardName() string { return partName(a.view, a.offer.Part) }
 
-// partName names a part for the log.
+// partName names a part for the log: by its shard's name if that has one, else by
+// upstream and range.
 func partName(v *view.View, p query.Part) string {
 	up := &v.Upstreams[p.Upstream]
 	for i := range up.Shards {
@@ -35,13 +35,13 @@
 	return up.Name + " " + p.Range.String()
 }
 
-// slowReply is an attempt that brought a reply.
+// slowReply is an attempt that got a reply, and how long it took.
 type slowReply struct {
 	attempt *attempt
 	took    time.Duration
 }
 
-// recordReplyTime notes how long an attempt took that brought a reply.
+// recordReplyTime keeps an attempt that got a reply if it is the slowest so far.
 func (r *run) recordReplyTime(a *attempt, took time.Duration) {
 	if !r.executor.config.Log.DecisionsOn() {
 		return
@@ -54,8 +54,8 @@
 	}
 }
 
-// logAnswer writes the line that ends a query's story: what came of it, what it
-// cost, what is missing and why, and how old the beliefs were that it acted on.
+// logAnswer logs the last line of a query: its outcome, its cost, what is missing and why,
+// and the ages of the configuration and the list of leaves that it used.
 func (r *run) logAnswer(a *query.Answer) {
 	log := r.executor.config.Log
 	if !log.DecisionsOn() {
@@ -76,7 +76,7 @@
 		more = append(more, "config_age", configAge, "leaves_age", leavesAge)
 	}
 	if r.request.OnlyShards != nil {
-		more = append(more, "group", true) // of a query that another instance answers
+		more = append(more, "group", true) // a part of a query that another instance answers
 	}
 	if queued := time.Duration(r.longestWait.Load()); queued > 0 {
 		more = append(more, "queued", queued)
@@ -96,7 +96,7 @@
 	})
 }
 
-// describeMissing lists parts with the reason of each, as "name:reason; name:reason".
+// describeMissing lists the missing parts with the reason of each, as "name:reason; name:reason".
 func (r *run) describeMissing(a *query.Answer) string {
 	var b strings.Builder
 	for i, m := range a.Missing {
--- a/entry/executor/repeat_limiters.go
+++ b/entry/executor/repeat_limiters.go
@@ -19,7 +19,7 @@
 	byShard map[string]*kernelrepetition.RepeatLimiter // by shard name
 }
 
-// newRepeatLimiters makes it empty.
+// newRepeatLimiters returns an empty set of limiters.
 func newRepeatLimiters(slack func(shards int) float64) *repeatLimiters {
 	if slack == nil {
 		slack = func(int) float64 { return 1 }
@@ -27,8 +27,8 @@
 	return &repeatLimiters{slackShare: slack, byShard: make(map[string]*kernelrepetition.RepeatLimiter)}
 }
 
-// countRequest counts a request at a shard. It is counted by the instance that asks the
-// shard's leaves, which may repeat it.
+// countRequest counts a request at a shard. The instance that asks the shard's leaves
+// counts it, as it is the one that may repeat it.
 func (a *repeatLimiters) countRequest(up *view.Upstream, shard int, now time.Time) {
 	if up.Config.RepeatLimit == nil || shard < 0 || shard >= len(up.Shards) {
 		return
@@ -38,7 +38,8 @@
 	a.limiter(up, shard).CountRequest(now)
 }
 
-// takeRepeat spends one repeat at a shard, if it fits. Without a bound it always does.
+// takeRepeat takes one repeat of a shard's limit and reports whether it fit. Without a
+// limit it always does.
 func (a *repeatLimiters) takeRepeat(up *view.Upstream, shard int, now time.Time) bool {
 	if up.Config.RepeatLimit == nil || shard < 0 || shard >= len(up.Shards) {
 		return up.Config.RepeatLimit == nil
@@ -48,7 +49,8 @@
 	return a.limiter(up, shard).TakeRepeat(now)
 }
 
-// remainingRepeats is the least number of repeats that fit at any shard now; 0 shards: none known.
+// remainingRepeats returns the least number of repeats that fit at any shard, and the
+// number of shards that have a limiter; with 0 shards the least is infinite.
 func (a *repeatLimiters) remainingRepeats(now time.Time) (least float64, shards int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -59,8 +61,8 @@
 	return least, len(a.byShard)
 }
 
-// RemainingRepeats is the least number of repeats that this instance may still make at any
-// of so many shards.
+// RemainingRepeats returns the least number of repeats that this instance may still make
+// at any shard, and the number of shards that have a limiter.
 func (e *Executor) RemainingRepeats(now time.Time) (least float64, shards int) {
 	return e.repeatLimiters.remainingRepeats(now)
 }
@@ -82,8 +84,8 @@
 	return w
 }
 
-// TakeRepeat implements query.ShardBudget by the indexes of the query's newest view.
-// It is called with the run's lock held.
+// TakeRepeat implements query.ShardBudget. The indexes refer to the query's newest view.
+// The run's lock is held.
 func (r *run) TakeRepeat(upstream, shard int, now time.Time) bool {
 	if upstream < 0 || upstream >= len(r.view.Upstreams) {
 		return false
--- a/entry/executor/run.go
+++ b/entry/executor/run.go
@@ -22,58 +22,58 @@
 	executor    *Executor
 	request     *Request
 	id          string
-	tokenSecret string // makes the attempts' ids unguessable
+	tokenSecret string // makes the attempts' tokens unguessable
 	stamp       uint64
 	fingerprint string
 	service     *serviceState
 	repetition  *repetition
 	versions    *versionSource
 	mail        *mailbox
-	// ran says that a leaf ran the request to its end, suspect that it is suspected of
-	// breaking leaves.
+	// completed is set once a leaf ran the request to completion, suspected once the
+	// request is suspected of crashing leaves.
 	completed, suspected atomic.Bool
-	// direct counts the shards that this query asks itself.
+	// directShards counts the shards that this instance queries itself.
 	directShards atomic.Int64
-	// groups are those that other instances may gather.
+	// groups are the groups of parts that other instances may gather.
 	groups []Group
-	// due is when the answer has its full value; zero: until the deadline.
+	// fullValueUntil is when the answer stops having its full value; zero: the deadline.
 	fullValueUntil time.Time
-	// waited is the longest time that an attempt waited in a queue here, in nanoseconds.
+	// longestWait is the longest time that an attempt waited in a queue here, in nanoseconds.
 	longestWait atomic.Int64
-	// slowest is the attempt that took longest of those that brought a reply; nil: none did.
+	// slowest is the attempt that took longest of those that got a reply; nil if none did.
 	slowest atomic.Pointer[slowReply]
-	ctx     context.Context // ends with the caller
-	work    context.Context // of the exchanges: ends with the deadline or the answer, too
+	ctx     context.Context // ends when the caller disconnects
+	work    context.Context // of the exchanges: ends also with the deadline or the answer
 
-	// mu guards what follows. The query's goroutine holds it for each event,
-	// and an exchange while it asks for leave to send.
+	// mu guards the fields below. The query's goroutine holds it for each event,
+	// and an exchange holds it while it asks for permission to send.
 	mu       sync.Mutex
 	machine  *query.Machine
 	attempts map[query.AttemptID]*attempt
-	// gathering holds the groups that were offered.
+	// offeredGroups holds the groups that were offered to other instances.
 	offeredGroups map[query.AttemptID]*offeredGroup
-	// view is the newest view that the machine knows; pools is by its indexes.
+	// view is the newest view that the machine knows; pools is keyed by its indexes.
 	view   *view.View
 	pools  map[int]*pool
 	timer  *time.Timer
 	answer *query.Answer
 }
 
-// newToken makes an unguessable id: 128 random bits in hex.
+// newToken returns an unguessable ID: 128 random bits in hex.
 func newToken() string {
 	var b [16]byte
 	_, _ = rand.Read(b[:]) // never fails: crypto/rand ends the program instead
 	return hex.EncodeToString(b[:])
 }
 
-// attemptToken is the attempt's id on the wire. It can't be guessed without
-// having seen another attempt of the same query, which goes to other leaves of
-// the same caller's request.
+// attemptToken returns the attempt's ID on the wire. It can't be guessed without
+// having seen another attempt of the same query, which only the leaves that serve
+// the same request see.
 func (r *run) attemptToken(id query.AttemptID) string {
 	return r.tokenSecret + "-" + strconv.FormatUint(uint64(id), 16)
 }
 
-// drive runs the query to its answer.
+// driveMachine feeds events to the machine until it has the answer, and returns that.
 func (r *run) driveMachine() *query.Answer {
 	r.timer = time.NewTimer(time.Hour)
 	r.timer.Stop()
@@ -99,35 +99,35 @@
 	return r.answer
 }
 
-// answered reports whether the query has its answer.
+// hasAnswer reports whether the query has its answer.
 func (r *run) hasAnswer() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.answer != nil
 }
 
-// handle gives one event to the machine.
+// handle passes one event to the machine.
 func (r *run) handle(ev query.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.handleLocked(ev)
 }
 
-// maySend tells the machine that the attempt's bytes go out now, and reports
-// whether they may. It is asked right before they do: no event can come between
-// the machine's word and the sending, so that an answer "not run" stays true.
+// confirmSend tells the machine that the attempt is sent, and reports whether it may be.
+// It is called right before the bytes are written: no event can come between the
+// machine's decision and the sending, so that an answer "not run" stays true.
 func (r *run) confirmSend(a *attempt, leaf int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.answer != nil || a.withdrawn || !ledger.MayDispatch(r.request.Deadline, time.Now()) {
-		return false // a paused instance finds its deadline passed here
+		return false // an instance that was paused finds the deadline passed here
 	}
 	r.handleLocked(query.Sent{Attempt: a.offer.Attempt, Leaf: leaf})
 	return !a.withdrawn
 }
 
-// step gives one event to the machine and carries out its actions. The lock is
-// held; pools never take it, they only put events into the mailbox.
+// handleLocked passes one event to the machine and performs its actions. The run's lock
+// is held; pools never take it, they only put events into the mailbox.
 func (r *run) handleLocked(ev query.Event) {
 	if r.answer != nil {
 		return
@@ -139,7 +139,7 @@
 	}
 }
 
-// heed does what an event means outside of the machine.
+// applyEvent updates the state that is kept outside of the machine.
 func (r *run) applyEvent(ev query.Event, now time.Time) {
 	switch ev := ev.(type) {
 	case query.ViewChanged:
@@ -155,14 +155,14 @@
 	}
 }
 
-// follow moves the query to a newer view, by whose indexes it speaks from here on.
+// setView moves the query to a newer view, whose indexes it uses from then on.
 func (r *run) setView(v *view.View) {
 	r.view = v
 	r.versions.view = v
 	clear(r.pools)
 }
 
-// act carries out one action.
+// performAction performs one action of the machine.
 func (r *run) performAction(action query.Action) {
 	switch action := action.(type) {
 	case query.Offer:
@@ -183,7 +183,7 @@
 	}
 }
 
-// offer puts an attempt into its upstream's pool.
+// offerAttempt queues an attempt in its upstream's pool.
 func (r *run) offerAttempt(o query.Offer) {
 	a := &attempt{
 		ticket: dispatch.Ticket{Query: r.stamp, Attempt: o.Attempt},
@@ -214,7 +214,7 @@
 	return p
 }
 
-// withdraw takes an attempt back.
+// withdrawAttempt withdraws an attempt or an offered group.
 func (r *run) withdrawAttempt(id query.AttemptID) {
 	if a, ok := r.attempts[id]; ok && !a.withdrawn {
 		a.withdrawn = true
@@ -226,7 +226,7 @@
 	}
 }
 
-// verdict tells the quarantine how an attempt ended on its leaf.
+// reportVerdict tells the quarantine how an attempt ended on its leaf.
 func (r *run) reportVerdict(v query.Verdict) {
 	a, ok := r.attempts[v.Attempt]
 	if !ok {
@@ -240,7 +240,8 @@
 	e.applyQuarantineActions(actions)
 }
 
-// leafName is the ID of a leaf by its index in the attempt's view.
+// leafIDAt returns the ID of a leaf by its index in the attempt's view, "" if there is
+// no such leaf.
 func (a *attempt) leafIDAt(leaf int) string {
 	if leaf < 0 || leaf >= len(a.view.Leaves) {
 		return ""
@@ -248,7 +249,7 @@
 	return a.view.Leaves[leaf].ID
 }
 
-// leafIndex is the index of a leaf in the attempt's view.
+// leafIndex returns the index of a leaf in the attempt's view.
 func (a *attempt) leafIndex(id string) int {
 	return a.view.Upstreams[a.offer.Part.Upstream].LeafIndex(id)
 }
--- a/entry/executor/service.go
+++ b/entry/executor/service.go
@@ -9,15 +9,15 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/view"
 )
 
-// serviceState is what outlives the queries of one service.
+// serviceState is the state of one service that outlives single queries.
 type serviceState struct {
 	metrics    *telemetry.ServiceMetrics
 	admission  *admission
 	repetition atomic.Pointer[repetition]
 }
 
-// service returns the state of a service; its budgets are made anew when the
-// configuration changes them.
+// service returns the state of a service. Its repetition policy starts anew when its
+// configuration changes.
 func (e *Executor) service(s *view.Service) *serviceState {
 	e.mu.RLock()
 	state, ok := e.services[s.Config.Name]
@@ -32,7 +32,7 @@
 	return state
 }
 
-// addService makes the state of a service, unless another goroutine has just done so.
+// addService creates the state of a service, unless another goroutine has just done so.
 func (e *Executor) addService(s *view.Service) *serviceState {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/entry/executor/slowness.go
+++ b/entry/executor/slowness.go
@@ -8,15 +8,15 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/slowness"
 )
 
-// allPools lists the pools.
+// allPools returns the pools of all upstreams.
 func (e *Executor) allPools() []*pool {
 	e.mu.RLock()
 	defer e.mu.RUnlock()
 	return slices.Collect(maps.Values(e.pools))
 }
 
-// Observations returns what was seen of leaves since the last call that other
-// instances should know of.
+// Observations returns the observations of leaves' slowness since the previous call, for
+// other instances.
 func (e *Executor) Observations() []slowness.Observation {
 	var out []slowness.Observation
 	for _, p := range e.allPools() {
@@ -27,7 +27,7 @@
 	return out
 }
 
-// ApplySlowLeaves passes on what other instances saw.
+// ApplySlowLeaves passes the slow leaves that other instances reported to all pools.
 func (e *Executor) ApplySlowLeaves(list []slowness.SlowLeaf) {
 	for _, p := range e.allPools() {
 		p.handle(func() dispatch.Event { return dispatch.SlowLeavesReported{Leaves: list} })
