--- a/entry/executor/executor_test.go
+++ b/entry/executor/executor_test.go
@@ -129,25 +129,25 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &testExecutor{t: t, log: log, metrics: telemetry.NewMetrics(), leaves: &fakeLeaves{behaviours: make(map[string]behaviour), executedBy: make(map[string]int)}}
-	b.executor = New(Config{
-		LeafClient: b.leaves, LeafObserver: noObserver{}, Log: log, Metrics: b.metrics, Ledger: noLedger{},
+	e := &testExecutor{t: t, log: log, metrics: telemetry.NewMetrics(), leaves: &fakeLeaves{behaviours: make(map[string]behaviour), executedBy: make(map[string]int)}}
+	e.executor = New(Config{
+		LeafClient: e.leaves, LeafObserver: noObserver{}, Log: log, Metrics: e.metrics, Ledger: noLedger{},
 		Policies: Policies{Dispatch: dispatch.DefaultPolicies(), Repetition: "budgeted"},
 	})
-	if err := b.executor.config.Policies.Check(); err != nil {
+	if err := e.executor.config.Policies.Check(); err != nil {
 		t.Fatal(err)
 	}
-	b.setView(1, shards)
-	return b
+	e.setView(1, shards)
+	return e
 }
 
-func (b *testExecutor) close() {
-	b.log.Close()
-	_ = b.metrics.Close()
+func (e *testExecutor) close() {
+	e.log.Close()
+	_ = e.metrics.Close()
 }
 
 // setView publishes a view with the given number of shards.
-func (b *testExecutor) setView(sequence uint64, shards int) {
+func (e *testExecutor) setView(sequence uint64, shards int) {
 	u := document.Upstream{Name: "up", KeySpace: 1200, ConnectionLimit: 25, Slots: 2}
 	for i := range shards {
 		size := 1200 / uint64(shards)
@@ -164,21 +164,21 @@
 		},
 		Callers: []document.Caller{{Name: "desk", Share: 1, Services: []string{"ask", "note"}}},
 	}
-	b.view = view.Build(sequence, "h", doc, func(string) bool { return false }, func(*document.Upstream, string) int { return 3 })
-	b.view.Sequence = sequence
-	b.executor.SetView(b.view)
+	e.view = view.Build(sequence, "h", doc, func(string) bool { return false }, func(*document.Upstream, string) int { return 3 })
+	e.view.Sequence = sequence
+	e.executor.SetView(e.view)
 }
 
 // execute runs one request.
-func (b *testExecutor) execute(ctx context.Context, service string) (*Response, error) {
-	return b.executor.Execute(ctx, b.request(service))
+func (e *testExecutor) execute(ctx context.Context, service string) (*Response, error) {
+	return e.executor.Execute(ctx, e.request(service))
 }
 
 // request returns a request on the current view.
-func (b *testExecutor) request(service string) *Request {
+func (e *testExecutor) request(service string) *Request {
 	now := time.Now()
 	return &Request{
-		View: b.view, Service: b.view.Services[service], Caller: &b.view.Document.Callers[0],
+		View: e.view, Service: e.view.Services[service], Caller: &e.view.Document.Callers[0],
 		Body: []byte("body"), Start: now, Deadline: now.Add(time.Second),
 	}
 }
@@ -187,12 +187,12 @@
 // version although one replica of each refuses connections.
 func TestAnswerIsCompleteWithOneReplicaUnreachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newTestExecutor(t, 4)
-		defer b.close()
+		e := newTestExecutor(t, 4)
+		defer e.close()
 		for i := range 4 {
-			b.leaves.behaviours[fmt.Sprintf("l%d-a", i)] = noConnection
+			e.leaves.behaviours[fmt.Sprintf("l%d-a", i)] = noConnection
 		}
-		resp, err := b.execute(t.Context(), "ask")
+		resp, err := e.execute(t.Context(), "ask")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -207,8 +207,8 @@
 // leaves serve only the new one.
 func TestAllShardsMoveToOneVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newTestExecutor(t, 4)
-		defer b.close()
+		e := newTestExecutor(t, 4)
+		defer e.close()
 		for i := range 4 {
 			for _, r := range []string{"a", "b"} {
 				versions := []uint64{1, 2}
@@ -216,11 +216,11 @@
 					versions = []uint64{2}
 				}
 				id := fmt.Sprintf("l%d-%s", i, r)
-				b.leaves.behaviours[id] = b.leaves.serve(5*time.Millisecond, versions...)
-				b.executor.RecordStatus(id, leafclient.Said{Versions: []uint64{1}}) // the last reported versions are out of date
+				e.leaves.behaviours[id] = e.leaves.serve(5*time.Millisecond, versions...)
+				e.executor.RecordStatus(id, leafclient.Said{Versions: []uint64{1}}) // the last reported versions are out of date
 			}
 		}
-		resp, err := b.execute(t.Context(), "ask")
+		resp, err := e.execute(t.Context(), "ask")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -240,18 +240,18 @@
 // the deadline and that nothing ran.
 func TestRefusesAtOnceWhenNoLeafIsReachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newTestExecutor(t, 2)
-		defer b.close()
+		e := newTestExecutor(t, 2)
+		defer e.close()
 		for _, id := range []string{"l0-a", "l0-b", "l1-a", "l1-b"} {
-			b.leaves.behaviours[id] = noConnection
+			e.leaves.behaviours[id] = noConnection
 		}
 		start := time.Now()
-		_, err := b.execute(t.Context(), "ask")
+		_, err := e.execute(t.Context(), "ask")
 		var refused *RefusedError
 		if !errors.As(err, &refused) || refused.RetryAfter <= 0 {
 			t.Fatalf("error %v, want a refusal with a time to retry", err)
 		}
-		if n := b.leaves.executions(); n != 0 {
+		if n := e.leaves.executions(); n != 0 {
 			t.Errorf("refused as not run, but ran %d times", n)
 		}
 		if took := time.Since(start); took > 500*time.Millisecond {
@@ -264,16 +264,16 @@
 // that no second attempt follows.
 func TestNonIdempotentRunsOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newTestExecutor(t, 1)
-		defer b.close()
-		b.leaves.behaviours["l0-a"] = b.leaves.breaks
-		b.leaves.behaviours["l0-b"] = b.leaves.breaks
-		resp, err := b.execute(t.Context(), "note")
+		e := newTestExecutor(t, 1)
+		defer e.close()
+		e.leaves.behaviours["l0-a"] = e.leaves.breaks
+		e.leaves.behaviours["l0-b"] = e.leaves.breaks
+		resp, err := e.execute(t.Context(), "note")
 		if err != nil {
 			t.Fatal(err)
 		}
-		if resp.Answer.Outcome != "unknown" || b.leaves.executions() != 1 {
-			t.Errorf("outcome %s after %d executions, want unknown after 1", resp.Answer.Outcome, b.leaves.executions())
+		if resp.Answer.Outcome != "unknown" || e.leaves.executions() != 1 {
+			t.Errorf("outcome %s after %d executions, want unknown after 1", resp.Answer.Outcome, e.leaves.executions())
 		}
 	})
 }
@@ -282,18 +282,18 @@
 // the store grants no claim.
 func TestRefusesKeyedRequestWithoutClaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newTestExecutor(t, 1)
-		defer b.close()
+		e := newTestExecutor(t, 1)
+		defer e.close()
 		now := time.Now()
-		_, err := b.executor.Execute(t.Context(), &Request{
-			View: b.view, Service: b.view.Services["note"], Caller: &b.view.Document.Callers[0],
+		_, err := e.executor.Execute(t.Context(), &Request{
+			View: e.view, Service: e.view.Services["note"], Caller: &e.view.Document.Callers[0],
 			Key: "k", Start: now, Deadline: now.Add(time.Second),
 		})
 		var refused *RefusedError
 		if !errors.As(err, &refused) || refused.Reason != RefusedUnavailable || refused.RetryAfter != time.Second {
 			t.Fatalf("error %v, want unavailable with the store's time to retry", err)
 		}
-		if n := b.leaves.executions(); n != 0 {
+		if n := e.leaves.executions(); n != 0 {
 			t.Errorf("ran %d times without a claim", n)
 		}
 	})
@@ -303,22 +303,22 @@
 // caller.
 func TestQueryEndsWhenCallerDisconnects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newTestExecutor(t, 4)
-		defer b.close()
+		e := newTestExecutor(t, 4)
+		defer e.close()
 		for i := range 4 {
 			for _, r := range []string{"a", "b"} {
-				b.leaves.behaviours[fmt.Sprintf("l%d-%s", i, r)] = b.leaves.serve(900*time.Millisecond, 1)
+				e.leaves.behaviours[fmt.Sprintf("l%d-%s", i, r)] = e.leaves.serve(900*time.Millisecond, 1)
 			}
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 		defer cancel()
 		start := time.Now()
-		_, _ = b.execute(ctx, "ask")
+		_, _ = e.execute(ctx, "ask")
 		if took := time.Since(start); took > 100*time.Millisecond {
 			t.Errorf("the query outlived its caller by %v", took-50*time.Millisecond)
 		}
 		synctest.Wait()
-		if n := b.executor.QueriesInFlight(); n != 0 {
+		if n := e.executor.QueriesInFlight(); n != 0 {
 			t.Errorf("%d queries in flight", n)
 		}
 	})
@@ -327,23 +327,23 @@
 // TestQueryCompletesAcrossShardSplit splits shards while a query waits for its replies.
 func TestQueryCompletesAcrossShardSplit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newTestExecutor(t, 2)
-		defer b.close()
+		e := newTestExecutor(t, 2)
+		defer e.close()
 		done := make(chan *Response)
-		request := b.request("ask")
+		request := e.request("ask")
 		go func() {
-			resp, err := b.executor.Execute(t.Context(), request)
+			resp, err := e.executor.Execute(t.Context(), request)
 			if err != nil {
 				t.Error(err)
 			}
 			done <- resp
 		}()
 		time.Sleep(5 * time.Millisecond)
-		b.setView(2, 4)
+		e.setView(2, 4)
 		if resp := <-done; resp != nil && resp.Answer.Outcome != "complete" {
 			t.Errorf("answer %+v", resp.Answer)
 		}
-		resp, err := b.execute(t.Context(), "ask")
+		resp, err := e.execute(t.Context(), "ask")
 		if err != nil || len(resp.Answer.Results) != 4 {
 			t.Errorf("after the split: %+v, %v", resp, err)
 		}
@@ -354,26 +354,26 @@
 // connections to the leaves are established only after the query was answered.
 func TestRecalledAttemptIsNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newTestExecutor(t, 1)
-		defer b.close()
+		e := newTestExecutor(t, 1)
+		defer e.close()
 		connectLate := func(_ context.Context, t leafclient.Target, r *leafclient.Request, sent func() bool) (*leafclient.Reply, error) {
 			time.Sleep(2 * time.Second) // past the deadline; ignores the context
 			if !sent() {
 				return nil, &leafclient.DialError{Leaf: t.ID, Err: leafclient.ErrRecalled}
 			}
-			b.leaves.count(t.ID)
+			e.leaves.count(t.ID)
 			return &leafclient.Reply{Version: 1, Ranges: []keyrange.Range{r.Range}}, nil
 		}
-		b.leaves.behaviours["l0-a"], b.leaves.behaviours["l0-b"] = connectLate, connectLate
+		e.leaves.behaviours["l0-a"], e.leaves.behaviours["l0-b"] = connectLate, connectLate
 		for _, service := range []string{"ask", "note"} {
-			_, err := b.execute(t.Context(), service)
+			_, err := e.execute(t.Context(), service)
 			var refused *RefusedError
 			if !errors.As(err, &refused) {
 				t.Errorf("%s: %v, want a refusal", service, err)
 			}
 		}
 		time.Sleep(5 * time.Second)
-		if n := b.leaves.executions(); n != 0 {
+		if n := e.leaves.executions(); n != 0 {
 			t.Errorf("refused as not run, and ran %d times later", n)
 		}
 	})
@@ -382,14 +382,14 @@
 // TestQueriesInProgressAreBounded checks that queries beyond MaxQueries are refused.
 func TestQueriesInProgressAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newTestExecutor(t, 1)
-		defer b.close()
-		b.executor.config.MaxQueries = 3
+		e := newTestExecutor(t, 1)
+		defer e.close()
+		e.executor.config.MaxQueries = 3
 		var refusals atomic.Int64
 		var wg sync.WaitGroup
 		for range 5 {
 			wg.Go(func() {
-				_, err := b.execute(t.Context(), "ask")
+				_, err := e.execute(t.Context(), "ask")
 				var refused *RefusedError
 				if errors.As(err, &refused) && refused.Reason == RefusedOverloaded && refused.RetryAfter > 0 {
 					refusals.Add(1)
--- a/entry/executor/pool_test.go
+++ b/entry/executor/pool_test.go
@@ -20,7 +20,7 @@
 }
 
 // TestTranslateLeavesSkipsLeafMissingInQueryView guards against a panic under the pool's lock,
-// which hung the instance: a retry avoids a leaf that only the pool's newer view has, and
+// which would hang the instance: a retry avoids a leaf that only the pool's newer view has, and
 // which the query's view has as NoLeaf.
 func TestTranslateLeavesSkipsLeafMissingInQueryView(t *testing.T) {
 	p := &pool{view: viewOf(2, "b", "a")}
@@ -36,7 +36,7 @@
 	p := &pool{}
 	func() {
 		defer func() { _ = recover() }()
-		p.handle(func() dispatch.Event { panic("test") })
+		p.handle(func() dispatch.Event { panic("played") })
 	}()
 	if !p.mu.TryLock() {
 		t.Error("the lock is still held")
--- a/entry/probe/probe.go
+++ b/entry/probe/probe.go
@@ -1,7 +1,7 @@
-// Package probe keeps an entry ready for the hour that everyone calls: it opens
-// connections ahead of traffic, at the leaves' pace, and asks leaves that have
-// not answered lately which index versions they serve. What it learns is a
-// hint: no promise rests on it.
+// Package probe prepares an instance for peak traffic: it opens connections to leaves
+// ahead of traffic, no faster than the leaves accept them, and asks leaves that have not
+// replied lately for their health and index versions. The results are hints: no
+// correctness guarantee depends on them.
 package probe
 
 import (
@@ -16,62 +16,64 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/view"
 )
 
-// Times and bounds of probing.
 const (
-	interval   = 1 * time.Second
-	quietAfter = 2 * time.Second // a leaf silent for so long is asked
-	// leavingEvery is how often a leaf that leaves is asked whether it has started again:
-	// it gets no work that could show it. Unasked, it would get none for the two minutes
-	// that a mark lives.
-	leavingEvery = 5 * time.Second
-	timeout      = 1 * time.Second
-	concurrency  = 32
+	roundInterval = 1 * time.Second // mean time between rounds; jitter makes it 0.5 to 1.5 times as long
+	quietAfter    = 2 * time.Second // a leaf without a reply for so long is probed
+	// drainingInterval is how often a draining leaf is probed for a restart: it gets no
+	// queries whose replies could show one. Without probes a restarted leaf would get no
+	// queries until its drain mark expires, after two minutes.
+	drainingInterval    = 5 * time.Second
+	probeTimeout        = 1 * time.Second // without the time to dial
+	maxConcurrentProbes = 32
 )
 
-// LeafClient opens connections and asks for health; *leafclient.Client does it.
+// LeafClient opens connections and asks leaves for their health; *leafclient.Client
+// implements it.
 type LeafClient interface {
 	Warm(ctx context.Context, t leafclient.Target, n int) (*leafapi.Health, error)
 	Health(ctx context.Context, t leafclient.Target) (*leafapi.Health, error)
 }
 
-// StatusRecorder keeps what leaves say; *executor.Executor does it.
+// StatusRecorder records what leaves report about themselves; *executor.Executor
+// implements it.
 type StatusRecorder interface {
-	// LastReply is when the leaf last said something, or the zero time.
+	// LastReply returns when the leaf last replied; the zero time if a connection to it has
+	// broken since.
 	LastReply(leafID string) time.Time
-	RecordStatus(leafID string, said leafclient.Said)
+	RecordStatus(leafID string, status leafclient.Said)
 }
 
-// Config is what a prober needs.
+// Config configures a prober.
 type Config struct {
 	LeafClient     LeafClient
 	StatusRecorder StatusRecorder
-	View           func() *view.View // nil before there is a document
-	// OnWarmed is called once after the first view's leaves were warmed.
+	View           func() *view.View // returns nil until there is a configuration
+	// OnWarmed is called once, after connections to the first view's leaves were opened.
 	OnWarmed func()
 }
 
-// Prober warms and asks leaves.
+// Prober opens connections to leaves and probes their health.
 type Prober struct {
-	config Config
-	warm   map[string]int       // leaf ID to connections asked for
-	asked  map[string]time.Time // when a leaf that leaves was last asked, by its ID
-	last   *view.View
+	config    Config
+	requested map[string]int       // leaf ID to number of connections requested
+	probed    map[string]time.Time // when a draining leaf was last probed, by leaf ID
+	lastView  *view.View
 }
 
-// New makes a prober; Run makes it work.
+// New returns a prober; Run starts it.
 func New(c Config) *Prober {
-	return &Prober{config: c, warm: make(map[string]int), asked: make(map[string]time.Time)}
+	return &Prober{config: c, requested: make(map[string]int), probed: make(map[string]time.Time)}
 }
 
-// Run works until the context ends.
+// Run probes the leaves in rounds until the context ends.
 func (p *Prober) Run(ctx context.Context) error {
 	for {
 		if v := p.config.View(); v != nil {
-			p.round(ctx, v)
+			p.probeRound(ctx, v)
 		}
-		pause := interval/2 + rand.N(interval)
-		if p.last == nil {
-			pause = firstPause
+		pause := roundInterval/2 + rand.N(roundInterval)
+		if p.lastView == nil {
+			pause = firstViewInterval
 		}
 		select {
 		case <-ctx.Done():
@@ -81,15 +83,16 @@
 	}
 }
 
-// firstPause is how often the first view is looked for.
-const firstPause = 20 * time.Millisecond
+// firstViewInterval is how often Run checks for the first view.
+const firstViewInterval = 20 * time.Millisecond
 
-// round warms leaves that are new or whose share grew, and asks quiet ones.
-func (p *Prober) round(ctx context.Context, v *view.View) {
-	first := p.last == nil
-	p.last = v
+// probeRound opens connections to leaves that are new or whose share of connections grew,
+// and probes the leaves that are draining or have not replied lately.
+func (p *Prober) probeRound(ctx context.Context, v *view.View) {
+	first := p.lastView == nil
+	p.lastView = v
 	var g errgroup.Group
-	g.SetLimit(concurrency)
+	g.SetLimit(maxConcurrentProbes)
 	now := time.Now()
 	for i := range v.Leaves {
 		leaf := &v.Leaves[i]
@@ -98,44 +101,45 @@
 		}
 		target := TargetOf(v, leaf)
 		if leaf.Draining {
-			if now.Sub(p.asked[leaf.ID]) >= leavingEvery {
-				p.asked[leaf.ID] = now
-				g.Go(func() error { p.ask(ctx, target, p.health, 1); return nil })
+			if now.Sub(p.probed[leaf.ID]) >= drainingInterval {
+				p.probed[leaf.ID] = now
+				g.Go(func() error { p.probe(ctx, target, p.health, 1); return nil })
 			}
 			continue
 		}
-		if p.warm[leaf.ID] < leaf.Connections {
-			p.warm[leaf.ID] = leaf.Connections
-			g.Go(func() error { p.ask(ctx, target, p.config.LeafClient.Warm, target.Connections); return nil })
+		if p.requested[leaf.ID] < leaf.Connections {
+			p.requested[leaf.ID] = leaf.Connections
+			g.Go(func() error { p.probe(ctx, target, p.config.LeafClient.Warm, target.Connections); return nil })
 			continue
 		}
 		if now.Sub(p.config.StatusRecorder.LastReply(leaf.ID)) > quietAfter {
-			g.Go(func() error { p.ask(ctx, target, p.health, 1); return nil })
+			g.Go(func() error { p.probe(ctx, target, p.health, 1); return nil })
 		}
 	}
-	_ = g.Wait() // no function returns an error: an unheard leaf is no fault here
+	_ = g.Wait() // no function returns an error: a leaf that doesn't answer is not an error here
 	if first && p.config.OnWarmed != nil {
 		p.config.OnWarmed()
 	}
 }
 
-// health asks one question over one connection.
+// health requests the leaf's health over one connection, with the signature of Warm.
 func (p *Prober) health(ctx context.Context, t leafclient.Target, _ int) (*leafapi.Health, error) {
 	return p.config.LeafClient.Health(ctx, t)
 }
 
-// ask puts one question and keeps the answer.
-func (p *Prober) ask(ctx context.Context, t leafclient.Target, how func(context.Context, leafclient.Target, int) (*leafapi.Health, error), n int) {
-	ctx, cancel := context.WithTimeout(ctx, timeout+time.Duration(n)*t.DialCost)
+// probe sends one request for health and records the answer. n is the number of
+// connections that it may open, for the timeout.
+func (p *Prober) probe(ctx context.Context, t leafclient.Target, request func(context.Context, leafclient.Target, int) (*leafapi.Health, error), n int) {
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout+time.Duration(n)*t.DialCost)
 	defer cancel()
-	h, err := how(ctx, t, n)
+	h, err := request(ctx, t, n)
 	if err != nil || h.ID != t.ID {
-		return // nothing is learnt of a leaf that doesn't answer as itself
+		return // no answer, or that of another leaf at this address: nothing is recorded
 	}
 	p.config.StatusRecorder.RecordStatus(t.ID, leafclient.Said{Versions: h.Versions, Draining: h.Draining, Born: h.Born})
 }
 
-// TargetOf says how a leaf of the view is reached.
+// TargetOf returns the address and connection settings of a leaf of the view.
 func TargetOf(v *view.View, leaf *view.Leaf) leafclient.Target {
 	return leafclient.Target{
 		ID: leaf.ID, Address: leaf.Address, Connections: leaf.Connections,
@@ -143,7 +147,7 @@
 	}
 }
 
-// Targets lists all leaves of the view.
+// Targets returns the targets of all leaves of the view.
 func Targets(v *view.View) []leafclient.Target {
 	out := make([]leafclient.Target, 0, len(v.Leaves))
 	for i := range v.Leaves {
--- a/entry/probe/probe_test.go
+++ b/entry/probe/probe_test.go
@@ -19,72 +19,73 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// fake stands in for the leaf client and for the learner.
-type fake struct {
-	mu      sync.Mutex
-	warmed  map[string]int // connections asked for, by leaf
-	asked   map[string]int // health questions, by leaf
-	heard   map[string]time.Time
-	learned map[string][]uint64
-	born    map[string]int64
-	answer  func(id string) (*leafapi.Health, error)
+// fakeLeaves is a fake leaf client and status recorder.
+type fakeLeaves struct {
+	mu        sync.Mutex
+	warmed    map[string]int // connections requested, by leaf ID
+	probed    map[string]int // health probes, by leaf ID
+	lastReply map[string]time.Time
+	versions  map[string][]uint64
+	startMS   map[string]int64
+	answer    func(id string) (*leafapi.Health, error)
 }
 
-func newFake() *fake {
-	return &fake{
-		warmed: make(map[string]int), asked: make(map[string]int),
-		heard: make(map[string]time.Time), learned: make(map[string][]uint64), born: make(map[string]int64),
+func newFakeLeaves() *fakeLeaves {
+	return &fakeLeaves{
+		warmed: make(map[string]int), probed: make(map[string]int),
+		lastReply: make(map[string]time.Time), versions: make(map[string][]uint64), startMS: make(map[string]int64),
 		answer: func(id string) (*leafapi.Health, error) {
 			return &leafapi.Health{ID: id, Ready: true, Versions: []uint64{7}, Born: 5}, nil
 		},
 	}
 }
 
-func (f *fake) Warm(_ context.Context, t leafclient.Target, n int) (*leafapi.Health, error) {
+func (f *fakeLeaves) Warm(_ context.Context, t leafclient.Target, n int) (*leafapi.Health, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.warmed[t.ID] += n
 	return f.answer(t.ID)
 }
 
-func (f *fake) Health(_ context.Context, t leafclient.Target) (*leafapi.Health, error) {
+func (f *fakeLeaves) Health(_ context.Context, t leafclient.Target) (*leafapi.Health, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.asked[t.ID]++
+	f.probed[t.ID]++
 	return f.answer(t.ID)
 }
 
-func (f *fake) LastReply(id string) time.Time {
+func (f *fakeLeaves) LastReply(id string) time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.heard[id]
+	return f.lastReply[id]
 }
 
-func (f *fake) RecordStatus(id string, said leafclient.Said) {
+func (f *fakeLeaves) RecordStatus(id string, status leafclient.Said) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.heard[id] = time.Now()
-	f.learned[id] = said.Versions
-	f.born[id] = said.Born
+	f.lastReply[id] = time.Now()
+	f.versions[id] = status.Versions
+	f.startMS[id] = status.Born
 }
 
-// counts returns what was asked of a leaf so far.
-func (f *fake) counts(id string) (warmed, asked int) {
+// counts returns the connections and the health probes requested of a leaf so far.
+func (f *fakeLeaves) counts(id string) (warmed, probed int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.warmed[id], f.asked[id]
+	return f.warmed[id], f.probed[id]
 }
 
-// testView has leaves "a" and "b", each with a share of connections.
-func testView(share int, leaving string) *view.View {
+// testView returns a view of leaves "a" and "b", each with share connections. The leaf
+// draining, if any, is draining.
+func testView(share int, draining string) *view.View {
 	doc := &document.Document{Upstreams: []document.Upstream{{Name: "up", KeySpace: 10, Shards: []document.Shard{{
 		Range: keyrange.Range{From: 0, To: 10}, Leaves: []document.Leaf{{ID: "a"}, {ID: "b"}},
 	}}}}}
-	return view.Build(1, "h", doc, func(id string) bool { return id == leaving }, func(*document.Upstream, string) int { return share })
+	return view.Build(1, "h", doc, func(id string) bool { return id == draining }, func(*document.Upstream, string) int { return share })
 }
 
-// runProber runs a prober over views that the test sets.
-func runProber(t *testing.T, f *fake, test func(set func(*view.View))) {
+// runProber runs a prober while test sets its view.
+func runProber(t *testing.T, f *fakeLeaves, test func(set func(*view.View))) {
 	synctest.Test(t, func(t *testing.T) {
 		var mu sync.Mutex
 		var current *view.View
@@ -108,62 +109,63 @@
 	})
 }
 
-// TestWarmsOncePerShare opens connections when a share is new or has grown.
-func TestWarmsOncePerShare(t *testing.T) {
-	f := newFake()
+// TestOpensConnectionsOncePerShare checks that connections are opened when a share is new
+// or has grown, and only once.
+func TestOpensConnectionsOncePerShare(t *testing.T) {
+	f := newFakeLeaves()
 	runProber(t, f, func(set func(*view.View)) {
 		time.Sleep(time.Second)
 		set(testView(1, ""))
 		time.Sleep(3 * time.Second)
 		if warmed, _ := f.counts("a"); warmed != 1 {
-			t.Errorf("asked for %d connections, want 1", warmed)
+			t.Errorf("requested %d connections, want 1", warmed)
 		}
 		set(testView(3, ""))
 		time.Sleep(5 * time.Second)
 		if warmed, _ := f.counts("a"); warmed != 1+3 {
-			t.Errorf("asked for %d connections in all, want 4", warmed)
+			t.Errorf("requested %d connections in all, want 4", warmed)
 		}
 	})
 }
 
-// TestAsksOnlyQuietLeaves leaves alone a leaf that answers queries.
-func TestAsksOnlyQuietLeaves(t *testing.T) {
-	f := newFake()
+// TestProbesOnlyQuietLeaves checks that a leaf that replies to queries is not probed.
+func TestProbesOnlyQuietLeaves(t *testing.T) {
+	f := newFakeLeaves()
 	runProber(t, f, func(set func(*view.View)) {
 		set(testView(1, ""))
 		for range 20 {
 			time.Sleep(500 * time.Millisecond)
-			f.RecordStatus("a", leafclient.Said{Versions: []uint64{7}}) // by queries
+			f.RecordStatus("a", leafclient.Said{Versions: []uint64{7}}) // a reply to a query
 		}
 		_, busy := f.counts("a")
 		_, quiet := f.counts("b")
 		if busy != 0 || quiet < 2 {
-			t.Errorf("asked the busy leaf %d times and the quiet one %d times", busy, quiet)
+			t.Errorf("probed the busy leaf %d times and the quiet one %d times", busy, quiet)
 		}
 	})
 }
 
-// TestLeavingLeavesAreLeftAlone warms no leaf that leaves, and asks it now and then only,
-// to learn that it has started again.
-func TestLeavingLeavesAreLeftAlone(t *testing.T) {
-	f := newFake()
+// TestDrainingLeafIsProbedRarely checks that no connections are opened to a draining leaf and
+// that it is probed only at drainingInterval, to notice its restart.
+func TestDrainingLeafIsProbedRarely(t *testing.T) {
+	f := newFakeLeaves()
 	runProber(t, f, func(set func(*view.View)) {
 		set(testView(2, "a"))
 		time.Sleep(20 * time.Second)
-		warmed, asked := f.counts("a")
-		if most := int(20*time.Second/leavingEvery) + 1; warmed != 0 || asked < 2 || asked > most {
-			t.Errorf("warmed %d and asked %d times, want none and at most %d", warmed, asked, most)
+		warmed, probed := f.counts("a")
+		if most := int(20*time.Second/drainingInterval) + 1; warmed != 0 || probed < 2 || probed > most {
+			t.Errorf("warmed %d and probed %d times, want none and at most %d", warmed, probed, most)
 		}
-		if f.born["a"] != 5 {
-			t.Errorf("learnt the birth %d, want the one that the leaf told", f.born["a"])
+		if f.startMS["a"] != 5 {
+			t.Errorf("recorded the start %d, want the one that the leaf reported", f.startMS["a"])
 		}
 	})
 }
 
-// TestOthersAnswersTeachNothing has a leaf's address answer as another leaf, and
-// fail.
-func TestOthersAnswersTeachNothing(t *testing.T) {
-	f := newFake()
+// TestIgnoresAnswersOfOtherLeaves checks that nothing is recorded when another leaf answers
+// at a leaf's address, or when none answers.
+func TestIgnoresAnswersOfOtherLeaves(t *testing.T) {
+	f := newFakeLeaves()
 	f.answer = func(id string) (*leafapi.Health, error) {
 		if id == "a" {
 			return &leafapi.Health{ID: "b", Versions: []uint64{9}}, nil
@@ -173,8 +175,8 @@
 	runProber(t, f, func(set func(*view.View)) {
 		set(testView(1, ""))
 		time.Sleep(10 * time.Second)
-		if len(f.learned) != 0 {
-			t.Errorf("learnt %v", f.learned)
+		if len(f.versions) != 0 {
+			t.Errorf("recorded %v", f.versions)
 		}
 	})
 }
