--- a/entry/executor/execute.go
+++ b/entry/executor/execute.go
@@ -67,8 +67,8 @@
 	return outcomeLabels{refusedOutcome, "internal"}
 }
 
-// runMeasured runs a query if fewer than MaxQueries are in progress, and records its
-// outcome and duration.
+// runMeasured runs a query unless MaxQueries are in progress already, and records its
+// outcome and duration in the metrics.
 func (e *Executor) runMeasured(req *Request, run func() (outcomeLabels, error)) error {
 	e.inFlight.Add(1)
 	defer e.inFlight.Done()
@@ -131,8 +131,8 @@
 		versions: &versionSource{state: e.leafState, view: req.View},
 	}
 	r.suspected.Store(mode == quarantine.ModeSuspect)
-	before := e.ownDelay.settleMargin(req.Service.Config.Objective, req.networkDelay())
-	r.fullValueUntil = fullValueUntil(req, before)
+	settleMargin := e.ownDelay.settleMargin(req.Service.Config.Objective, req.networkDelay())
+	r.fullValueUntil = fullValueUntil(req, settleMargin)
 	r.service = e.service(req.Service)
 	r.repetition = r.service.repetition.Load()
 	r.groups = e.planGroups(req, mode)
@@ -142,7 +142,7 @@
 		Versions:     r.versions,
 		Budget:       r.repetition,
 		ShardBudget:  r,
-		SettleMargin: before,
+		SettleMargin: settleMargin,
 		HedgeAfter:   r.repetition.hedgeDelay(r),
 		Canary:       mode == quarantine.ModeCanary,
 		Suspect:      mode == quarantine.ModeSuspect,
@@ -152,12 +152,12 @@
 }
 
 // fullValueUntil returns when an answer must be settled to have its full value; zero means
-// that there is no objective, only the deadline. before is the settle margin.
-func fullValueUntil(req *Request, before time.Duration) time.Time {
+// that there is no objective, only the deadline. See ownDelay.settleMargin.
+func fullValueUntil(req *Request, settleMargin time.Duration) time.Time {
 	if req.Service.Config.Objective <= 0 {
 		return time.Time{}
 	}
-	return req.Start.Add(req.Service.Config.Objective - before)
+	return req.Start.Add(req.Service.Config.Objective - settleMargin)
 }
 
 // runToAnswer runs the query and returns its answer; an answer "not run" is returned as
--- a/entry/executor/executor.go
+++ b/entry/executor/executor.go
@@ -26,11 +26,11 @@
 }
 
 // LeafObserver is told what replies show about leaves: that a leaf drains, and a start
-// time that was not known. born is the leaf's start in Unix milliseconds by its own clock;
+// time that was not known. startMS is the leaf's start in Unix milliseconds by its own clock;
 // 0 is unknown. The methods must not block.
 type LeafObserver interface {
-	ObserveDraining(leafID string, born int64)
-	ObserveStart(leafID string, born int64)
+	ObserveDraining(leafID string, startMS int64)
+	ObserveStart(leafID string, startMS int64)
 	// GossipNow asks for the quarantine's news to be sent to the peers at once.
 	GossipNow()
 }
@@ -50,9 +50,9 @@
 	// NetworkDelay is the time that the request and its answer together spend on the
 	// network between caller and instance; 0 is unknown.
 	NetworkDelay time.Duration
-	// OnlyShards, if it is set, limits the request to the shards that this instance gathers
-	// for another. Interim receives what there is when an answer is due, and again with
-	// each part that comes later; it must not block.
+	// OnlyShards, if set, limits the request to the shards that this instance gathers
+	// for another. OnInterim then receives the answer so far when the answer is due, and
+	// again with each part that arrives later; it must not block.
 	OnlyShards []query.Group
 	OnInterim  func(*query.Answer)
 }
@@ -182,7 +182,7 @@
 	return p
 }
 
-// addPool makes the pool of an upstream, unless another goroutine has just done so.
+// addPool creates the pool of an upstream, unless another goroutine has just done so.
 func (e *Executor) addPool(name string, v *view.View, upstream int) *pool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -197,7 +197,7 @@
 // SetView installs a new view. It is called for each view before queries use it,
 // and notifies the queries in flight, which may have to query split shards again.
 func (e *Executor) SetView(v *view.View) {
-	e.leafState.follow(v)
+	e.leafState.setView(v)
 	pools := e.allPools()
 	e.runsMu.Lock()
 	runs := slices.Collect(maps.Keys(e.runs))
--- a/entry/executor/gather.go
+++ b/entry/executor/gather.go
@@ -16,8 +16,8 @@
 // Gatherer delegates parts of a query to other instances, which gather them.
 type Gatherer interface {
 	// Plan returns the groups of parts of a request that other instances are to gather,
-	// nil for none. away lists the shards whose leaves would be in other zones.
-	Plan(r *Request, upstream int, away []dispatch.CrossZoneShard) []Group
+	// nil for none. crossZone lists the shards whose leaves would be in other zones.
+	Plan(r *Request, upstream int, crossZone []dispatch.CrossZoneShard) []Group
 	// Gather has another instance gather a group of Plan's and returns when that is over;
 	// it passes each reply to got. It calls sent once, and other instances run nothing
 	// unless sent has returned true. The error is a *NotGatheredError if nothing has run;
@@ -65,11 +65,11 @@
 		return nil
 	}
 	upstream := req.Service.Upstreams[0]
-	away, ok := e.pool(req.View, upstream).crossZoneShards(req.View)
-	if !ok || len(away) == 0 {
+	crossZone, ok := e.pool(req.View, upstream).crossZoneShards(req.View)
+	if !ok || len(crossZone) == 0 {
 		return nil
 	}
-	return e.config.Gatherer.Plan(req, upstream, away)
+	return e.config.Gatherer.Plan(req, upstream, crossZone)
 }
 
 // crossZoneShards lists the shards for which leaves in other zones would be asked, by
@@ -117,8 +117,8 @@
 		return
 	}
 	r.logGroupFailure(ctx, err)
-	var not *NotGatheredError
-	if errors.As(err, &not) {
+	var notGathered *NotGatheredError
+	if errors.As(err, &notGathered) {
 		r.mail.put(query.NotSent{Attempt: o.Attempt, Reason: query.ReasonNotAccepted})
 		return
 	}
@@ -129,13 +129,13 @@
 // any reply came. A group counts as gathered if some replies came and the answer didn't
 // wait for the rest.
 func groupOutcome(ctx context.Context, err error, replies int) telemetry.GroupOutcome {
-	var not *NotGatheredError
+	var notGathered *NotGatheredError
 	switch {
 	case err == nil, ctx.Err() != nil && replies > 0:
 		return telemetry.GroupGathered
 	case ctx.Err() != nil:
 		return ""
-	case errors.As(err, &not):
+	case errors.As(err, &notGathered):
 		return telemetry.GroupNotTaken
 	default:
 		return telemetry.GroupLost
--- a/entry/executor/leaf_state.go
+++ b/entry/executor/leaf_state.go
@@ -18,8 +18,8 @@
 	mu           sync.Mutex
 	view         *view.View
 	tracker      *snapshot.Tracker
-	indexByID    map[string]int // leaf ID to index in view
-	lastReply    map[string]time.Time
+	indexByID    map[string]int       // leaf ID to index in view
+	lastReply    map[string]time.Time // when the leaf last replied, by leaf ID
 	lastBreak    map[string]time.Time // when a connection to the leaf last broke, by leaf ID
 	startMS      map[string]int64     // the start that the leaf last reported, in Unix milliseconds
 	incarnations map[string]int       // how often the leaf has replied again after a break
@@ -30,7 +30,7 @@
 }
 
 // setView moves the tracker to a newer view and drops the leaves that it lacks.
-func (s *leafState) follow(v *view.View) {
+func (s *leafState) setView(v *view.View) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.view != nil && v.Sequence <= s.view.Sequence {
@@ -94,7 +94,7 @@
 	return quarantine.Incarnation{Leaf: leafID, Number: s.incarnations[leafID]}
 }
 
-// isUp reports whether the leaf has answered since it last broke a connection.
+// isUp reports whether the leaf has replied since a connection to it last broke.
 func (s *leafState) isUp(leafID string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/entry/executor/own_delay.go
+++ b/entry/executor/own_delay.go
@@ -16,13 +16,13 @@
 
 // settleMargin returns how long before the objective an answer must be settled, given the
 // network delay from and to its caller; 0 without an objective.
-func (m *ownDelay) settleMargin(objective, networkDelay time.Duration) time.Duration {
+func (d *ownDelay) settleMargin(objective, networkDelay time.Duration) time.Duration {
 	if objective <= 0 {
 		return 0
 	}
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return margin.ForObjective(objective, networkDelay, m.estimator.UpperBound(margin.InitialOwnDelay))
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return margin.ForObjective(objective, networkDelay, d.estimator.UpperBound(margin.InitialOwnDelay))
 }
 
 // RecordWritten adds an answer that has been written to the estimate. Only an answer that
--- a/entry/executor/policies.go
+++ b/entry/executor/policies.go
@@ -31,7 +31,7 @@
 	return err
 }
 
-// dispatchConfig is the configuration of one upstream's dispatch machine. The
+// dispatchConfig returns the configuration of one upstream's dispatch machine. The
 // seed differs from upstream to upstream.
 func (p Policies) dispatchConfig(c Config, v *view.View, upstream int) dispatch.Config {
 	return dispatch.Config{
--- a/entry/executor/pool.go
+++ b/entry/executor/pool.go
@@ -92,7 +92,8 @@
 	}
 }
 
-// shardIndex finds the pool's shardIndex for the attempt's part; the query may speak by an older view.
+// shardIndex returns the index in the pool's view of the shard that serves the attempt's
+// part, and whether there is one. The query may use an older view than the pool.
 func (p *pool) shardIndex(a *attempt) (int, bool) {
 	if a.view == p.view {
 		return a.offer.Shard, true
--- a/entry/executor/query_log.go
+++ b/entry/executor/query_log.go
@@ -12,7 +12,7 @@
 // maxLoggedMissing is the maximum of missing parts that a log line names.
 const maxLoggedMissing = 12
 
-// callerRequestID is the caller's own callerRequestID of the request, "" if it gave none.
+// callerRequestID returns the caller's own ID of the request, "" if it gave none.
 func (r *Request) callerRequestID() string {
 	if r.Forwarded == nil {
 		return ""
--- a/entry/executor/repeat_limiters.go
+++ b/entry/executor/repeat_limiters.go
@@ -9,9 +9,9 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/view"
 )
 
-// repeatLimiters keeps the fleet's bound on extra repeatLimiters at each shard. Upstreams
-// that share a shard's name share its bound. It guards the kernel's windows by a
-// lock.
+// repeatLimiters limits the hedges and retries at each shard to this instance's share of
+// the fleet's limit. Upstreams that share a shard's name share its limit. A lock guards
+// the kernel's limiters.
 type repeatLimiters struct {
 	slackShare func(shards int) float64 // Config.RepeatSlackShare
 
@@ -29,36 +29,36 @@
 
 // countRequest counts a request at a shard. The instance that asks the shard's leaves
 // counts it, as it is the one that may repeat it.
-func (a *repeatLimiters) countRequest(up *view.Upstream, shard int, now time.Time) {
+func (l *repeatLimiters) countRequest(up *view.Upstream, shard int, now time.Time) {
 	if up.Config.RepeatLimit == nil || shard < 0 || shard >= len(up.Shards) {
 		return
 	}
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.limiter(up, shard).CountRequest(now)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.limiter(up, shard).CountRequest(now)
 }
 
 // takeRepeat takes one repeat of a shard's limit and reports whether it fit. Without a
 // limit it always does.
-func (a *repeatLimiters) takeRepeat(up *view.Upstream, shard int, now time.Time) bool {
+func (l *repeatLimiters) takeRepeat(up *view.Upstream, shard int, now time.Time) bool {
 	if up.Config.RepeatLimit == nil || shard < 0 || shard >= len(up.Shards) {
 		return up.Config.RepeatLimit == nil
 	}
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.limiter(up, shard).TakeRepeat(now)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.limiter(up, shard).TakeRepeat(now)
 }
 
 // remainingRepeats returns the least number of repeats that fit at any shard, and the
 // number of shards that have a limiter; with 0 shards the least is infinite.
-func (a *repeatLimiters) remainingRepeats(now time.Time) (least float64, shards int) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
+func (l *repeatLimiters) remainingRepeats(now time.Time) (least float64, shards int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	least = math.Inf(1)
-	for _, w := range a.byShard {
-		least = min(least, w.RemainingRepeats(now))
+	for _, limiter := range l.byShard {
+		least = min(least, limiter.RemainingRepeats(now))
 	}
-	return least, len(a.byShard)
+	return least, len(l.byShard)
 }
 
 // RemainingRepeats returns the least number of repeats that this instance may still make
@@ -67,21 +67,21 @@
 	return e.repeatLimiters.remainingRepeats(now)
 }
 
-// limiter returns the limiter of a shard with this instance's part of the limit.
-// The lock is held.
-func (a *repeatLimiters) limiter(up *view.Upstream, shard int) *kernelrepetition.RepeatLimiter {
+// limiter returns a shard's limiter, set to this instance's share of the limit. The lock
+// is held.
+func (l *repeatLimiters) limiter(up *view.Upstream, shard int) *kernelrepetition.RepeatLimiter {
 	limit := up.Config.RepeatLimit
-	part := kernelrepetition.RepeatLimit{
-		Ratio: limit.Ratio, Slack: limit.Slack * a.slackShare(len(up.Shards)), Window: limit.Window,
+	share := kernelrepetition.RepeatLimit{
+		Ratio: limit.Ratio, Slack: limit.Slack * l.slackShare(len(up.Shards)), Window: limit.Window,
 	}
 	name := up.Shards[shard].Name
-	w, ok := a.byShard[name]
+	limiter, ok := l.byShard[name]
 	if !ok {
-		w = kernelrepetition.NewRepeatLimiter(part)
-		a.byShard[name] = w
+		limiter = kernelrepetition.NewRepeatLimiter(share)
+		l.byShard[name] = limiter
 	}
-	w.SetLimit(part)
-	return w
+	limiter.SetLimit(share)
+	return limiter
 }
 
 // TakeRepeat implements query.ShardBudget. The indexes refer to the query's newest view.
--- a/entry/executor/run.go
+++ b/entry/executor/run.go
@@ -36,7 +36,8 @@
 	directShards atomic.Int64
 	// groups are the groups of parts that other instances may gather.
 	groups []Group
-	// fullValueUntil is when the answer stops having its full value; zero: the deadline.
+	// fullValueUntil is when the answer must be settled to have its full value; zero: there
+	// is no objective, only the deadline.
 	fullValueUntil time.Time
 	// longestWait is the longest time that an attempt waited in a queue here, in nanoseconds.
 	longestWait atomic.Int64
