--- a/entry/executor/admit.go
+++ b/entry/executor/admission.go
@@ -9,7 +9,7 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/query"
 )
 
-// admission guards a service's admission policy by a lock.
+// admission is a service's admission policy, guarded by a lock.
 type admission struct {
 	mu     sync.Mutex
 	policy *dispatch.Admission
@@ -17,62 +17,62 @@
 
 // admit decides on a whole query before any part of it is queued: a query of
 // which too few parts would finish in time is refused at once, and costs the
-// leaves nothing. What another instance has taken in is not judged again here.
+// leaves nothing. A query that another instance has admitted is not checked again.
 func (e *Executor) admit(r *run) *RefusedError {
 	now := time.Now()
 	if !now.Before(r.request.Deadline) {
-		return refuse(RefusedDeadline, leastRetryAfter, "the deadline has passed")
+		return refuse(RefusedDeadline, minRetryAfter, "the deadline has passed")
 	}
-	if r.request.Only != nil {
+	if r.request.OnlyShards != nil {
 		return nil
 	}
-	fitters := make([]dispatch.LoadEstimator, 0, len(r.request.Service.Upstreams))
+	estimators := make([]dispatch.LoadEstimator, 0, len(r.request.Service.Upstreams))
 	for _, upstream := range r.request.Service.Upstreams {
-		fitters = append(fitters, r.pool(upstream))
+		estimators = append(estimators, r.pool(upstream))
 	}
-	left := r.valueLeft(now)
+	left := r.timeToFullValue(now)
 	a := r.service.admission
 	a.mu.Lock()
 	decision := a.policy.Admit(dispatch.QueryRequest{
 		Caller: r.request.Caller.Name, Share: r.request.Caller.Share, Priority: r.request.Service.Config.Priority,
 		TimeLeft: left, LeastCoverage: r.request.Service.Config.LeastCoverage,
-	}, fitters, now)
+	}, estimators, now)
 	a.mu.Unlock()
 	if decision.Admitted {
 		return nil
 	}
 	e.config.Log.Decide(telemetry.Decision{
-		Part: partQuery, What: "refuse", Query: r.stamp, Request: r.request.name(), Why: "too few parts would finish in time",
+		Part: prefixQuery, What: "refuse", Query: r.stamp, Request: r.request.callerRequestID(), Why: "too few parts would finish in time",
 		More: []any{"service", r.request.Service.Config.Name, "fit", decision.ServableShare, "yields", decision.YieldedToUrgent, "left", left, "retry_after", decision.RetryAfter},
 	})
 	return refuse(RefusedOverloaded, decision.RetryAfter, "too few parts would finish in time")
 }
 
-// valueLeft is the time in which an answer has its full value, or the time to the
-// deadline where that has passed or there is no objective.
-func (r *run) valueLeft(now time.Time) time.Duration {
-	if left := r.due.Sub(now); left > 0 {
+// timeToFullValue returns the time left in which an answer has its full value, or the time
+// to the deadline if that has passed or there is no objective.
+func (r *run) timeToFullValue(now time.Time) time.Duration {
+	if left := r.fullValueUntil.Sub(now); left > 0 {
 		return left
 	}
 	return r.request.Deadline.Sub(now)
 }
 
-// waitedShare of the time in which an answer has its full value, spent in a queue here,
-// shows that an answer was late for the load: it is the least wait that admission aims at.
-const waitedShare = 0.05
+// minLateWaitShare is the share of the objective beyond which the time in a queue here counts
+// as the cause of a late answer: it is the shortest wait that admission aims at.
+const minLateWaitShare = 0.05
 
-// tellAdmission tells the admission policy how an admitted query ended.
-func (r *run) tellAdmission(answer *query.Answer) {
-	if r.request.Only != nil {
+// reportToAdmission tells the admission policy how an admitted query ended.
+func (r *run) reportToAdmission(answer *query.Answer) {
+	if r.request.OnlyShards != nil {
 		return
 	}
 	now := time.Now()
 	config := r.request.Service.Config
 	useful := answer.Share > 0 && answer.Share >= config.LeastCoverage
-	late := !useful && shortOfTime(answer)
-	if !r.due.IsZero() {
+	late := !useful && missesForLackOfTime(answer)
+	if !r.fullValueUntil.IsZero() {
 		useful = useful && !now.After(r.request.Start.Add(config.Objective))
-		late = !useful && (late || time.Duration(r.waited.Load()) > time.Duration(waitedShare*float64(config.Objective)))
+		late = !useful && (late || time.Duration(r.longestWait.Load()) > time.Duration(minLateWaitShare*float64(config.Objective)))
 	}
 	a := r.service.admission
 	a.mu.Lock()
@@ -80,19 +80,19 @@
 	a.policy.RecordAnswer(useful, late, now)
 }
 
-// sawWait notes for how long an attempt waited in a queue here.
-func (r *run) sawWait(d time.Duration) {
+// recordQueueWait keeps the time that an attempt waited in a queue here if it is the longest.
+func (r *run) recordQueueWait(d time.Duration) {
 	for {
-		longest := r.waited.Load()
-		if int64(d) <= longest || r.waited.CompareAndSwap(longest, int64(d)) {
+		longest := r.longestWait.Load()
+		if int64(d) <= longest || r.longestWait.CompareAndSwap(longest, int64(d)) {
 			return
 		}
 	}
 }
 
-// shortOfTime reports whether parts are missing for lack of time, and not
+// missesForLackOfTime reports whether parts are missing for lack of time, and not
 // because no leaf serves them.
-func shortOfTime(answer *query.Answer) bool {
+func missesForLackOfTime(answer *query.Answer) bool {
 	for _, m := range answer.Missing {
 		switch query.DeclineReason(m.Reason) {
 		case query.ReasonDeadline, query.ReasonOverloaded:
--- a/entry/executor/exchange.go
+++ b/entry/executor/exchange.go
@@ -14,45 +14,45 @@
 
 // Prefixes of decision lines.
 const (
-	partDispatch = "dispatch"
-	partQuery    = "query"
+	prefixDispatch = "dispatch"
+	prefixQuery    = "query"
 )
 
-// exchange runs one dispatched attempt to its end and reports it to the query
-// and to the pool.
-func (e *Executor) exchange(p *pool, s start) {
+// exchange runs one dispatched attempt and reports its result to the query and to
+// the pool.
+func (e *Executor) exchange(p *pool, s dispatchedAttempt) {
 	a := s.attempt
 	defer a.cancel()
-	e.decide(a, telemetry.Decision{Part: partDispatch, What: "dispatch", Leaf: s.leaf.ID, Why: s.action.Reason, Took: s.action.QueueTime, Class: telemetry.Routine})
-	a.run.sawWait(s.action.QueueTime)
+	e.logDecision(a, telemetry.Decision{Part: prefixDispatch, What: "dispatch", Leaf: s.leaf.ID, Why: s.action.Reason, Took: s.action.QueueTime, Class: telemetry.Routine})
+	a.run.recordQueueWait(s.action.QueueTime)
 	leaf := a.leafIndex(s.leaf.ID)
-	// The deadline is looked at again right before the bytes go: an instance
-	// that was paused since the decision must not start stale work.
+	// The deadline is checked again right before sending: an instance that was
+	// paused since the decision must not start work past the deadline.
 	if s.ctx.Err() != nil {
-		p.finish(a, dispatch.OutcomeCancelled, 0)
+		p.finishAttempt(a, dispatch.OutcomeCancelled, 0)
 		a.run.mail.put(query.NotSent{Attempt: a.offer.Attempt, Reason: query.ReasonDeadline})
 		return
 	}
-	// A request is only suspected of breaking a leaf that was up when it was
-	// sent: a leaf that breaks whatever comes is lost, and proves nothing.
-	up := e.leafState.up(s.leaf.ID)
+	// A request is only suspected of crashing a leaf that was up when it was
+	// sent: a leaf that closes every connection proves nothing about the request.
+	up := e.leafState.isUp(s.leaf.ID)
 	target := leafclient.Target{ID: s.leaf.ID, Name: s.leaf.Name, Address: s.leaf.Address, Connections: s.leaf.Connections, DialCost: s.dialCost}
-	request := &leafclient.Request{ID: a.run.id, Attempt: a.token, Version: a.offer.Version, Range: a.offer.Part.Range, Body: a.run.request.Body, Forwarded: a.run.request.Passed}
-	reply, err := e.config.Leaves.Run(s.ctx, target, request, func() bool { return a.run.maySend(a, leaf) })
+	request := &leafclient.Request{ID: a.run.id, Attempt: a.token, Version: a.offer.Version, Range: a.offer.Part.Range, Body: a.run.request.Body, Forwarded: a.run.request.Forwarded}
+	reply, err := e.config.LeafClient.Run(s.ctx, target, request, func() bool { return a.run.confirmSend(a, leaf) })
 	if err != nil {
 		a.run.service.metrics.Attempt(attemptOutcome(s.ctx, err), s.action.QueueTime)
-		e.failed(s.ctx, p, a, exchanged{leaf: leaf, up: up, err: err})
+		e.handleFailure(s.ctx, p, a, failedExchange{leaf: leaf, up: up, err: err})
 		return
 	}
-	a.run.sawRun()
-	a.run.sawReply(a, time.Since(a.started))
-	e.Learn(s.leaf.ID, reply.LeafStatus)
+	a.run.recordCompletion()
+	a.run.recordReplyTime(a, time.Since(a.started))
+	e.RecordStatus(s.leaf.ID, reply.LeafStatus)
 	a.run.service.metrics.Attempt(telemetry.AttemptReply, s.action.QueueTime)
-	p.finish(a, dispatch.OutcomeReply, reply.Service)
+	p.finishAttempt(a, dispatch.OutcomeReply, reply.Service)
 	a.run.mail.put(query.Reply{Attempt: a.offer.Attempt, Leaf: leaf, Version: reply.Version, Ranges: reply.Ranges, Body: reply.Body, Versions: reply.Versions, Attachment: reply.Attachment})
 }
 
-// attemptOutcome is the metrics' label of a failed exchange.
+// attemptOutcome returns the metrics' label of a failed exchange.
 func attemptOutcome(ctx context.Context, err error) telemetry.AttemptOutcome {
 	var declined *leafclient.DeclinedError
 	var broken *leafclient.BrokenError
@@ -70,16 +70,16 @@
 	}
 }
 
-// exchanged is an exchange that brought no reply.
-type exchanged struct {
+// failedExchange is an exchange that got no reply.
+type failedExchange struct {
 	leaf int  // index in the attempt's view
 	up   bool // the leaf was up when the request was sent
 	err  error
 }
 
-// failed converts the client's error to events. Only a dial error or the
+// handleFailure converts the client's error to events. Only a dial error or the
 // leaf's own decline counts as not run.
-func (e *Executor) failed(ctx context.Context, p *pool, a *attempt, x exchanged) {
+func (e *Executor) handleFailure(ctx context.Context, p *pool, a *attempt, x failedExchange) {
 	leaf, err := x.leaf, x.err
 	var dial *leafclient.DialError
 	var declined *leafclient.DeclinedError
@@ -89,42 +89,43 @@
 	if ctx.Err() != nil {
 		class = telemetry.Routine // it was withdrawn: another attempt answered, or the query is over
 	}
-	e.decide(a, telemetry.Decision{Part: partDispatch, What: "attempt failed", Leaf: a.leafID, Why: why(err), Took: time.Since(a.started), Class: class})
+	e.logDecision(a, telemetry.Decision{Part: prefixDispatch, What: "attempt failed", Leaf: a.leafID, Why: failureCause(err), Took: time.Since(a.started), Class: class})
 	switch {
 	case errors.As(err, &dial):
 		outcome := dispatch.OutcomeDialFailed
 		if ctx.Err() != nil {
 			outcome = dispatch.OutcomeCancelled
 		}
-		p.finish(a, outcome, 0)
+		p.finishAttempt(a, outcome, 0)
 		a.run.mail.put(query.NotSent{Attempt: id, Leaf: leaf, Reason: query.ReasonDialFailed})
 	case errors.As(err, &declined):
-		e.Learn(declined.Leaf, declined.LeafStatus)
+		e.RecordStatus(declined.Leaf, declined.LeafStatus)
 		outcome := dispatch.OutcomeDeclined
 		if declined.Reason == leafapi.DeclineOverloaded {
 			outcome = dispatch.OutcomeShed
 		}
-		p.finish(a, outcome, 0)
+		p.finishAttempt(a, outcome, 0)
 		a.run.mail.put(query.Declined{Attempt: id, Leaf: leaf, Reason: query.DeclineReason(declined.Reason), Versions: declined.Versions, Ranges: declined.Ranges})
 	case errors.As(err, &broken):
 		closed := broken.Cause == leafclient.CauseClosed
 		lost := broken.Cause == leafclient.CauseLost
 		if closed || lost {
-			e.leafState.sawBreak(a.leafID, time.Now())
+			e.leafState.recordBreak(a.leafID, time.Now())
 		}
 		if broken.Failure != nil {
-			a.run.sawRun()
+			a.run.recordCompletion()
 		}
-		p.finish(a, brokenOutcome(broken.Cause), 0)
-		crash := closed && x.up || lost && e.lost(a)
+		p.finishAttempt(a, brokenOutcome(broken.Cause), 0)
+		crash := closed && x.up || lost && e.recordLeafLoss(a)
 		a.run.mail.put(query.Broken{Attempt: id, Leaf: leaf, Cause: string(broken.Cause), Crash: crash, Failure: broken.Failure})
 	default:
-		p.finish(a, dispatch.OutcomeBroken, 0)
+		p.finishAttempt(a, dispatch.OutcomeBroken, 0)
 		a.run.mail.put(query.Broken{Attempt: id, Leaf: leaf, Cause: "internal"})
 	}
 }
 
-// brokenOutcome tells the dispatch layer a break from a timeout and a withdrawal.
+// brokenOutcome returns the outcome of a broken exchange for the dispatch machine, which
+// distinguishes a broken connection from a timeout and a cancellation.
 func brokenOutcome(c leafclient.Cause) dispatch.Outcome {
 	switch c {
 	case leafclient.CauseDeadline:
@@ -136,8 +137,8 @@
 	}
 }
 
-// why is the short cause of an error, without addresses.
-func why(err error) string {
+// failureCause returns the short cause of an error for the log, without addresses.
+func failureCause(err error) string {
 	var declined *leafclient.DeclinedError
 	var broken *leafclient.BrokenError
 	switch {
@@ -150,26 +151,27 @@
 	}
 }
 
-// Learn keeps what a leaf said of itself. It implements probe.Learner.
-func (e *Executor) Learn(leafID string, said leafclient.LeafStatus) {
-	if e.leafState.saw(leafID, said, time.Now()) {
-		e.config.LeafObserver.SawBorn(leafID, said.StartMillis)
+// RecordStatus records what a leaf reported about itself. It implements probe.StatusRecorder.
+func (e *Executor) RecordStatus(leafID string, status leafclient.LeafStatus) {
+	if e.leafState.recordStatus(leafID, status, time.Now()) {
+		e.config.LeafObserver.ObserveStart(leafID, status.StartMillis)
 	}
-	if said.Draining {
-		e.config.LeafObserver.SawLeaving(leafID, said.StartMillis)
+	if status.Draining {
+		e.config.LeafObserver.ObserveDraining(leafID, status.StartMillis)
 	}
 }
 
-// LastReply is when the leaf last said something, or the zero time.
-func (e *Executor) LastReply(leafID string) time.Time { return e.leafState.lastReplyOf(leafID) }
+// LastReply returns when the leaf last replied; the zero time if a connection to it has
+// broken since.
+func (e *Executor) LastReply(leafID string) time.Time { return e.leafState.lastReplyTime(leafID) }
 
-// decide logs a decision about an attempt.
-func (e *Executor) decide(a *attempt, d telemetry.Decision) {
+// logDecision logs a decision about an attempt.
+func (e *Executor) logDecision(a *attempt, d telemetry.Decision) {
 	if !e.config.Log.DecisionsOn() {
 		return
 	}
 	d.Query = a.ticket.Query
-	d.Request = a.run.request.name()
+	d.Request = a.run.request.callerRequestID()
 	d.Shard = a.shardName()
 	e.config.Log.Decide(d)
 }
--- a/entry/executor/gather.go
+++ b/entry/executor/gather.go
@@ -13,68 +13,68 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/view"
 )
 
-// Gatherer has parts of a query gathered by other instances.
+// Gatherer delegates parts of a query to other instances, which gather them.
 type Gatherer interface {
-	// Plan says which parts of a request others are to gather; nil: none. The shards
-	// that are away would be asked of leaves in other zones.
-	Plan(r *Request, upstream int, away []dispatch.CrossZoneShard) []Group
-	// Gather has a group of Plan's gathered and returns with its end; each reply is
-	// given to got. Other instances run nothing before sent has been called, once, and
-	// has returned true. The error is a *NotGatheredError where nothing has run; after
-	// any other the parts may have run.
+	// Plan returns the groups of parts of a request that other instances are to gather,
+	// nil for none. crossZone lists the shards whose leaves would be in other zones.
+	Plan(r *Request, upstream int, crossZone []dispatch.CrossZoneShard) []Group
+	// Gather has another instance gather a group of Plan's and returns when that is over;
+	// it passes each reply to got. It calls sent once, and other instances run nothing
+	// unless sent has returned true. The error is a *NotGatheredError if nothing has run;
+	// after any other error the parts may have run.
 	Gather(ctx context.Context, r *Request, g Group, sent func() bool, got func(*GatherReply)) error
 }
 
-// Group is parts of a query that an instance of a zone is to gather.
+// Group is a set of parts of a query that an instance of a zone is to gather.
 type Group struct {
 	query.Group
 	Zone string
 }
 
-// GatherReply is what another instance has gathered since its last reply.
+// GatherReply is what another instance has gathered since its previous reply.
 type GatherReply struct {
 	Version uint64 // of the index
 	Ranges  []keyrange.Range
-	// Going says that more replies may come.
-	Going bool
-	// Sent, Hedges and Retries count its attempts.
+	// HasMore is set if more replies may come.
+	HasMore bool
+	// Sent, Hedges and Retries count that instance's attempts.
 	Sent, Hedges, Retries int
-	// Carried is handed on with the answer.
-	Carried any
+	// Attachment is opaque data that is passed on with the answer.
+	Attachment any
 }
 
-// NotGatheredError says that no other instance ran anything of a group.
+// NotGatheredError means that no other instance ran any part of a group.
 type NotGatheredError struct{ Err error }
 
 // Error implements error.
 func (e *NotGatheredError) Error() string { return "group was not gathered: " + e.Err.Error() }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *NotGatheredError) Unwrap() error { return e.Err }
 
-// gathering is one offered group. It is guarded by the run's lock.
-type gathering struct {
+// offeredGroup is a group that was offered to another instance. The run's lock guards it.
+type offeredGroup struct {
 	cancel    context.CancelFunc
 	withdrawn bool
 }
 
-// plan says what others are to gather. What is gathered for another instance is
-// not handed on again, nor is a request that may break leaves.
-func (e *Executor) plan(req *Request, mode quarantine.Mode) []Group {
-	if e.config.Gatherer == nil || req.Only != nil || mode != quarantine.ModeRun || len(req.Service.Upstreams) != 1 {
+// planGroups returns the groups that other instances are to gather. A request that is
+// gathered for another instance is not delegated again, nor is one that may crash leaves.
+func (e *Executor) planGroups(req *Request, mode quarantine.Mode) []Group {
+	if e.config.Gatherer == nil || req.OnlyShards != nil || mode != quarantine.ModeRun || len(req.Service.Upstreams) != 1 {
 		return nil
 	}
 	upstream := req.Service.Upstreams[0]
-	away, ok := e.pool(req.View, upstream).away(req.View)
-	if !ok || len(away) == 0 {
+	crossZone, ok := e.pool(req.View, upstream).crossZoneShards(req.View)
+	if !ok || len(crossZone) == 0 {
 		return nil
 	}
-	return e.config.Gatherer.Plan(req, upstream, away)
+	return e.config.Gatherer.Plan(req, upstream, crossZone)
 }
 
-// away lists the shards that would be asked of leaves in other zones, by their
-// indexes in the view; false where the pool goes by another view already.
-func (p *pool) away(v *view.View) ([]dispatch.CrossZoneShard, bool) {
+// crossZoneShards lists the shards for which leaves in other zones would be asked, by
+// their indexes in the view; false if the pool has another view already.
+func (p *pool) crossZoneShards(v *view.View) ([]dispatch.CrossZoneShard, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.view != v {
@@ -83,8 +83,8 @@
 	return p.machine.CrossZoneShards(time.Now()), true
 }
 
-// parts are the groups as the kernel knows them.
-func parts(groups []Group) []query.Group {
+// queryGroups returns the groups in the kernel's type.
+func queryGroups(groups []Group) []query.Group {
 	out := make([]query.Group, 0, len(groups))
 	for _, g := range groups {
 		out = append(out, g.Group)
@@ -92,23 +92,23 @@
 	return out
 }
 
-// offerGroup has a group gathered. The run's lock is held.
+// offerGroup starts the gathering of a group. The run's lock is held.
 func (r *run) offerGroup(o query.OfferGroup) {
 	ctx, cancel := context.WithCancel(r.work)
-	g := &gathering{cancel: cancel}
-	r.gathering[o.Attempt] = g
-	go r.gather(ctx, o, g)
+	g := &offeredGroup{cancel: cancel}
+	r.offeredGroups[o.Attempt] = g
+	go r.gatherGroup(ctx, o, g)
 }
 
-// gather carries one group to its end and reports it to the query.
-func (r *run) gather(ctx context.Context, o query.OfferGroup, g *gathering) {
+// gatherGroup has one group gathered and reports the result to the query.
+func (r *run) gatherGroup(ctx context.Context, o query.OfferGroup, g *offeredGroup) {
 	defer g.cancel()
 	group := r.groups[o.Group]
-	sent := func() bool { return r.mayGather(o.Attempt, g) }
+	sent := func() bool { return r.confirmGroupSend(o.Attempt, g) }
 	replies := 0
 	err := r.executor.config.Gatherer.Gather(ctx, r.request, group, sent, func(reply *GatherReply) {
 		replies++
-		r.gathered(o.Attempt, reply)
+		r.recordGathered(o.Attempt, reply)
 	})
 	if outcome := groupOutcome(ctx, err, replies); outcome != "" {
 		r.service.metrics.Group(outcome)
@@ -116,61 +116,62 @@
 	if err == nil {
 		return
 	}
-	r.tellNotGathered(ctx, err)
-	var not *NotGatheredError
-	if errors.As(err, &not) {
+	r.logGroupFailure(ctx, err)
+	var notGathered *NotGatheredError
+	if errors.As(err, &notGathered) {
 		r.mail.put(query.NotSent{Attempt: o.Attempt, Reason: query.ReasonNotAccepted})
 		return
 	}
 	r.mail.put(query.Broken{Attempt: o.Attempt, Leaf: view.NoLeaf, Cause: "gathering instance lost"})
 }
 
-// groupOutcome is a group's outcome for the metrics; empty where the query ended before
-// anything came. A group whose rest the answer did not wait for was gathered.
+// groupOutcome returns a group's outcome for the metrics; empty if the query ended before
+// any reply came. A group counts as gathered if some replies came and the answer didn't
+// wait for the rest.
 func groupOutcome(ctx context.Context, err error, replies int) telemetry.GroupOutcome {
-	var not *NotGatheredError
+	var notGathered *NotGatheredError
 	switch {
 	case err == nil, ctx.Err() != nil && replies > 0:
 		return telemetry.GroupGathered
 	case ctx.Err() != nil:
 		return ""
-	case errors.As(err, &not):
+	case errors.As(err, &notGathered):
 		return telemetry.GroupNotTaken
 	default:
 		return telemetry.GroupLost
 	}
 }
 
-// gathered passes a reply to the query.
-func (r *run) gathered(id query.AttemptID, reply *GatherReply) {
+// recordGathered passes a reply to the query.
+func (r *run) recordGathered(id query.AttemptID, reply *GatherReply) {
 	if len(reply.Ranges) > 0 {
-		r.sawRun()
+		r.recordCompletion()
 	}
 	r.mail.put(query.Gathered{
-		Attempt: id, Version: reply.Version, Ranges: reply.Ranges, HasMore: reply.Going,
-		Sent: reply.Sent, Hedges: reply.Hedges, Retries: reply.Retries, Attachment: reply.Carried,
+		Attempt: id, Version: reply.Version, Ranges: reply.Ranges, HasMore: reply.HasMore,
+		Sent: reply.Sent, Hedges: reply.Hedges, Retries: reply.Retries, Attachment: reply.Attachment,
 	})
 }
 
-// mayGather tells the machine that another instance may run the group from now on,
-// and reports whether it may; see maySend.
-func (r *run) mayGather(id query.AttemptID, g *gathering) bool {
+// confirmGroupSend tells the machine that another instance may run the group from this
+// moment, and reports whether it may; see confirmSend.
+func (r *run) confirmGroupSend(id query.AttemptID, g *offeredGroup) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.answer != nil || g.withdrawn || !time.Now().Before(r.request.Deadline) {
 		return false
 	}
-	r.step(query.Sent{Attempt: id, Leaf: view.NoLeaf})
+	r.handleLocked(query.Sent{Attempt: id, Leaf: view.NoLeaf})
 	return !g.withdrawn
 }
 
-// tellNotGathered logs why a group brought nothing.
-func (r *run) tellNotGathered(ctx context.Context, err error) {
+// logGroupFailure logs why a group was not gathered, or not in full.
+func (r *run) logGroupFailure(ctx context.Context, err error) {
 	class := telemetry.Failure
 	if ctx.Err() != nil {
 		class = telemetry.Routine // nobody waits for it
 	}
 	r.executor.config.Log.Decide(telemetry.Decision{
-		Part: partQuery, What: "group failed", Query: r.stamp, Request: r.request.name(), Why: err.Error(), Took: time.Since(r.request.Start), Class: class,
+		Part: prefixQuery, What: "group failed", Query: r.stamp, Request: r.request.callerRequestID(), Why: err.Error(), Took: time.Since(r.request.Start), Class: class,
 	})
 }
--- a/entry/executor/quarantine.go
+++ b/entry/executor/quarantine.go
@@ -15,18 +15,18 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/query"
 )
 
-// quarantineState keeps what the fleet knows of requests that break leaves. It
-// guards the kernel's machine by a lock.
+// quarantineState holds what the fleet knows of requests that crash leaves. A lock guards
+// the kernel's machine and the loss counter.
 type quarantineState struct {
 	key     []byte
 	mu      sync.Mutex
 	machine *quarantine.Machine
-	strikes quarantine.LossCounter
+	losses  quarantine.LossCounter
 }
 
-// quarantineConfig sets times and bounds of the quarantine.
+// quarantineConfig holds the default times and limits of the quarantine.
 var quarantineConfig = quarantine.Config{
-	QuarantineDuration: defaultQuarantineFor,
+	QuarantineDuration: defaultQuarantineDuration,
 	SuspectDuration:    2 * time.Minute,
 	MaxRecords:         4096,
 	MaxKnownGood:       65536,
@@ -34,49 +34,50 @@
 }
 
 const (
-	// defaultQuarantineFor is how long a request that broke two leaves, one of them
-	// alone, is refused.
-	defaultQuarantineFor = 10 * time.Minute
-	// strikesFor is how long the loss of a leaf counts against the request that it ran.
-	strikesFor = time.Minute
-	// mostStrikes bounds the requests with losses that are remembered.
-	mostStrikes = 4096
+	// defaultQuarantineDuration is how long a request is refused that crashed two leaves,
+	// one of them while it was the only request there.
+	defaultQuarantineDuration = 10 * time.Minute
+	// lossWindow is how long after the last loss a request's lost leaves count.
+	lossWindow = time.Minute
+	// maxRequestsWithLosses is the maximum of requests whose losses are tracked.
+	maxRequestsWithLosses = 4096
 )
 
-// newQuarantineState makes it empty. All entries must have the same key, so that they
-// name a request alike.
-func newQuarantineState(key []byte, lasts time.Duration) *quarantineState {
+// newQuarantineState returns an empty state. All instances must have the same key, so that
+// they compute the same fingerprint of a request.
+func newQuarantineState(key []byte, duration time.Duration) *quarantineState {
 	config := quarantineConfig
-	if lasts > 0 {
-		config.QuarantineDuration = lasts
+	if duration > 0 {
+		config.QuarantineDuration = duration
 	}
 	return &quarantineState{
-		key: key, machine: quarantine.New(config), strikes: quarantine.LossCounter{Window: strikesFor, MaxRequests: mostStrikes},
+		key: key, machine: quarantine.New(config), losses: quarantine.LossCounter{Window: lossWindow, MaxRequests: maxRequestsWithLosses},
 	}
 }
 
-// lost notes a leaf that was lost under a request. It reports whether that makes the
-// request a suspect, with what is to be reported of it.
-func (s *quarantineState) lost(fingerprint string, leaf quarantine.Incarnation, enough int, now time.Time) (suspect bool, actions []quarantine.Action) {
+// recordLoss records a leaf that was lost under a request. It reports whether the request
+// is suspected of crashing leaves, as threshold incarnations are lost, with the machine's
+// actions.
+func (s *quarantineState) recordLoss(fingerprint string, leaf quarantine.Incarnation, threshold int, now time.Time) (suspect bool, actions []quarantine.Action) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.strikes.RecordLoss(fingerprint, leaf, enough, now) {
+	if !s.losses.RecordLoss(fingerprint, leaf, threshold, now) {
 		return false, nil
 	}
 	return true, slices.Clone(s.machine.Handle(quarantine.AttemptEnded{Fingerprint: fingerprint, Leaf: leaf.Leaf, Crashed: true}, now))
 }
 
-// ran notes that a leaf ran a request to its end.
-func (s *quarantineState) ran(fingerprint string) {
+// recordSuccess records that a leaf ran a request to completion.
+func (s *quarantineState) recordSuccess(fingerprint string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.strikes.Empty() {
-		s.strikes.RecordSuccess(fingerprint)
+	if !s.losses.Empty() {
+		s.losses.RecordSuccess(fingerprint)
 	}
 }
 
-// fingerprint names a request by a keyed hash of caller, service and body: it
-// can be sent to peers and logged without saying anything of the request.
+// fingerprint returns a keyed hash of caller, service and body: it can be sent to
+// peers and logged without revealing anything of the request.
 func (s *quarantineState) fingerprint(r *Request) string {
 	mac := hmac.New(sha256.New, s.key)
 	mac.Write([]byte(r.Caller.Name))
@@ -84,8 +85,8 @@
 	mac.Write([]byte(r.Service.Config.Name))
 	mac.Write([]byte{0})
 	mac.Write(r.Body)
-	if r.Passed != nil {
-		r.Passed.WriteIdentity(mac)
+	if r.Forwarded != nil {
+		r.Forwarded.WriteIdentity(mac)
 	}
 	return hex.EncodeToString(mac.Sum(nil)[:fingerprintBytes])
 }
@@ -93,8 +94,9 @@
 // fingerprintBytes is the length of a fingerprint: 128 bits.
 const fingerprintBytes = 16
 
-// seed is the fingerprint's hash, which chooses the part that runs alone.
-func seed(fingerprint string) uint64 { return xxhash.Sum64String(fingerprint) }
+// canarySeed returns the fingerprint's hash, which selects the part that runs as the
+// canary.
+func canarySeed(fingerprint string) uint64 { return xxhash.Sum64String(fingerprint) }
 
 // admit decides how a request may run.
 func (s *quarantineState) admit(fingerprint string, r *Request, now time.Time) quarantine.Decision {
@@ -103,19 +105,19 @@
 	return s.machine.Admit(fingerprint, r.Service.Shards, r.Service.Config.CanaryAbove, now)
 }
 
-// observe notes how an attempt ended.
+// observe passes the end of an attempt to the machine.
 func (s *quarantineState) observe(o quarantine.AttemptEnded, now time.Time) []quarantine.Action {
 	return s.handle(o, now)
 }
 
-// handle gives an event to the machine.
+// handle passes an event to the machine and returns its actions.
 func (s *quarantineState) handle(ev quarantine.Event, now time.Time) []quarantine.Action {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.machine.Handle(ev, now))
 }
 
-// records lists what to tell peers.
+// records returns the records to send to peers.
 func (s *quarantineState) records(now time.Time) []peerapi.Quarantined {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -126,39 +128,39 @@
 	return out
 }
 
-// maxLeftMS bounds a peer's word on how long a record lasts; the kernel bounds
-// it further.
-const maxLeftMS = int64(24 * time.Hour / time.Millisecond)
+// maxRemainingMS limits how long a record from a peer may still last, in milliseconds;
+// the kernel limits it further.
+const maxRemainingMS = int64(24 * time.Hour / time.Millisecond)
 
-// merge takes in a peer's records.
+// merge merges a peer's records.
 func (s *quarantineState) merge(list []peerapi.Quarantined, now time.Time) []quarantine.Action {
 	records := make([]quarantine.Record, 0, len(list))
 	for _, q := range list {
-		left := time.Duration(min(q.LeftMS, maxLeftMS)) * time.Millisecond
+		left := time.Duration(min(q.LeftMS, maxRemainingMS)) * time.Millisecond
 		records = append(records, quarantine.Record{Fingerprint: q.Fingerprint, Level: q.Level, ExpiresAt: now.Add(left)})
 	}
 	return s.handle(quarantine.RecordsReceived{Records: records}, now)
 }
 
-// lift lets a fingerprint run again.
+// lift ends the quarantine of a fingerprint.
 func (s *quarantineState) lift(fingerprint string, now time.Time) []quarantine.Action {
 	return s.handle(quarantine.Lifted{Fingerprint: fingerprint}, now)
 }
 
-// carryOut tells the peers and the running queries what the quarantine learnt.
-func (e *Executor) carryOut(actions []quarantine.Action) {
+// applyQuarantineActions notifies the peers and the running queries of changes.
+func (e *Executor) applyQuarantineActions(actions []quarantine.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
 		case quarantine.Announce:
-			e.config.LeafObserver.SpreadNow()
+			e.config.LeafObserver.GossipNow()
 		case quarantine.PhaseChanged:
-			e.tellRuns(action)
+			e.notifyRuns(action)
 		}
 	}
 }
 
-// tellRuns tells the running queries of a fingerprint what has become of it.
-func (e *Executor) tellRuns(c quarantine.PhaseChanged) {
+// notifyRuns notifies the running queries of a fingerprint of its new phase.
+func (e *Executor) notifyRuns(c quarantine.PhaseChanged) {
 	var ev query.Event
 	switch c.Phase {
 	case quarantine.PhaseClear:
@@ -177,16 +179,16 @@
 	}
 }
 
-// Quarantine lists fingerprints under suspicion or in quarantine, to tell peers
+// Quarantine returns the fingerprints that are suspected or in quarantine, for peers
 // and operators.
 func (e *Executor) Quarantine() []peerapi.Quarantined { return e.quarantine.records(time.Now()) }
 
-// MergeQuarantine takes in a peer's list.
+// MergeQuarantine merges a peer's list.
 func (e *Executor) MergeQuarantine(list []peerapi.Quarantined) {
-	e.carryOut(e.quarantine.merge(list, time.Now()))
+	e.applyQuarantineActions(e.quarantine.merge(list, time.Now()))
 }
 
-// LiftQuarantine lets a fingerprint run again.
+// LiftQuarantine ends the quarantine of a fingerprint.
 func (e *Executor) LiftQuarantine(fingerprint string) {
-	e.carryOut(e.quarantine.lift(fingerprint, time.Now()))
+	e.applyQuarantineActions(e.quarantine.lift(fingerprint, time.Now()))
 }
--- a/entry/executor/story.go
+++ b/entry/executor/query_log.go
@@ -9,22 +9,22 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/view"
 )
 
-// mostMissing bounds the parts that a line names.
-const mostMissing = 12
+// maxLoggedMissing is the maximum of missing parts that a log line names.
+const maxLoggedMissing = 12
 
-// name is the caller's own name of the request, "" if it gave none.
-func (r *Request) name() string {
-	if r.Passed == nil {
+// callerRequestID returns the caller's own ID of the request, "" if it gave none.
+func (r *Request) callerRequestID() string {
+	if r.Forwarded == nil {
 		return ""
 	}
-	return r.Passed.ID
+	return r.Forwarded.ID
 }
 
-// shardName names an attempt's shard for the log: by its own name where it has
-// one, else by upstream and range.
+// shardName returns the name of an attempt's shard for the log; see partName.
 func (a *attempt) shardName() string { return partName(a.view, a.offer.Part) }
 
-// partName names a part for the log.
+// partName names a part for the log: by its shard's name if that has one, else by
+// upstream and range.
 func partName(v *view.View, p query.Part) string {
 	up := &v.Upstreams[p.Upstream]
 	for i := range up.Shards {
@@ -35,14 +35,14 @@
 	return up.Name + " " + p.Range.String()
 }
 
-// slowReply is an attempt that brought a reply.
+// slowReply is an attempt that got a reply, and how long it took.
 type slowReply struct {
 	attempt *attempt
 	took    time.Duration
 }
 
-// sawReply notes how long an attempt took that brought a reply.
-func (r *run) sawReply(a *attempt, took time.Duration) {
+// recordReplyTime keeps an attempt that got a reply if it is the slowest so far.
+func (r *run) recordReplyTime(a *attempt, took time.Duration) {
 	if !r.executor.config.Log.DecisionsOn() {
 		return
 	}
@@ -54,8 +54,8 @@
 	}
 }
 
-// logAnswer writes the line that ends a query's story: what came of it, what it
-// cost, what is missing and why, and how old the beliefs were that it acted on.
+// logAnswer logs the last line of a query: its outcome, its cost, what is missing and why,
+// and the ages of the configuration and the list of leaves that it used.
 func (r *run) logAnswer(a *query.Answer) {
 	log := r.executor.config.Log
 	if !log.DecisionsOn() {
@@ -69,16 +69,16 @@
 	}
 	more := []any{
 		"service", config.Name, "share", a.Share, "sent", a.Sent, "hedges", a.Hedges, "retries", a.Retries, "groups", a.Groups,
-		"left", time.Until(r.request.Deadline), "objective", config.Objective, "way", r.request.way(), "config", r.request.View.Generation,
+		"left", time.Until(r.request.Deadline), "objective", config.Objective, "way", r.request.networkDelay(), "config", r.request.View.Generation,
 	}
 	if r.executor.config.Ages != nil {
 		configAge, leavesAge := r.executor.config.Ages()
 		more = append(more, "config_age", configAge, "leaves_age", leavesAge)
 	}
-	if r.request.Only != nil {
-		more = append(more, "group", true) // of a query that another instance answers
+	if r.request.OnlyShards != nil {
+		more = append(more, "group", true) // a part of a query that another instance answers
 	}
-	if queued := time.Duration(r.waited.Load()); queued > 0 {
+	if queued := time.Duration(r.longestWait.Load()); queued > 0 {
 		more = append(more, "queued", queued)
 	}
 	if s := r.slowest.Load(); s != nil {
@@ -88,26 +88,26 @@
 		more = append(more, "reason", a.Reason)
 	}
 	if len(a.Missing) > 0 {
-		more = append(more, "missing", r.missingParts(a))
+		more = append(more, "missing", r.describeMissing(a))
 	}
 	log.Decide(telemetry.Decision{
-		Part: partQuery, What: "answer", Query: r.stamp, Request: r.request.name(), Why: string(a.Outcome),
+		Part: prefixQuery, What: "answer", Query: r.stamp, Request: r.request.callerRequestID(), Why: string(a.Outcome),
 		Took: took, More: more, Class: class,
 	})
 }
 
-// missingParts lists parts with the reason of each, as "name:reason; name:reason".
-func (r *run) missingParts(a *query.Answer) string {
+// describeMissing lists the missing parts with the reason of each, as "name:reason; name:reason".
+func (r *run) describeMissing(a *query.Answer) string {
 	var b strings.Builder
 	for i, m := range a.Missing {
-		if i == mostMissing {
+		if i == maxLoggedMissing {
 			b.WriteString("; ...")
 			break
 		}
 		if i > 0 {
 			b.WriteString("; ")
 		}
-		b.WriteString(partName(r.request.View, m.Part) + ":" + missing(m))
+		b.WriteString(partName(r.request.View, m.Part) + ":" + missingReason(m))
 	}
 	return b.String()
 }
--- a/entry/gateway/gateway.go
+++ b/entry/gateway/gateway.go
@@ -25,8 +25,8 @@
 // Executor runs forwarded requests; *executor.Executor implements it.
 type Executor interface {
 	Forward(ctx context.Context, r *executor.Request) (*query.Answer, error)
-	// Written is called when an answer has been written to the client.
-	Written(a *query.Answer, at time.Time)
+	// RecordWritten is called when an answer has been written to the client.
+	RecordWritten(a *query.Answer, at time.Time)
 }
 
 // Lifecycle tells how far the instance's shutdown has progressed.
@@ -116,7 +116,7 @@
 	}
 	answer, err := g.config.Executor.Forward(r.Context(), req)
 	reply := g.buildReply(req, answer, err)
-	reply.Written = func(at time.Time) { g.config.Executor.Written(answer, at) }
+	reply.Written = func(at time.Time) { g.config.Executor.RecordWritten(answer, at) }
 	reply.write(w, r.Method)
 }
 
@@ -126,7 +126,7 @@
 	// Start is when the other instance received the request, and Deadline when it must
 	// be answered.
 	Start, Deadline time.Time
-	// NetworkDelay is executor.Request.Way.
+	// NetworkDelay is executor.Request.NetworkDelay.
 	NetworkDelay time.Duration
 }
 
@@ -137,11 +137,11 @@
 		return refused.toReply()
 	}
 	req := &executor.Request{
-		View: v, Service: service, Caller: forwardedCaller, Start: relayed.Start, Deadline: relayed.Deadline, Way: relayed.NetworkDelay, Passed: relayed.Forwarded,
+		View: v, Service: service, Caller: forwardedCaller, Start: relayed.Start, Deadline: relayed.Deadline, NetworkDelay: relayed.NetworkDelay, Forwarded: relayed.Forwarded,
 	}
 	answer, err := g.config.Executor.Forward(ctx, req)
 	reply := g.buildReply(req, answer, err)
-	g.config.Executor.Written(answer, time.Now())
+	g.config.Executor.RecordWritten(answer, time.Now())
 	return reply
 }
 
@@ -191,8 +191,8 @@
 		return nil, refused
 	}
 	return &executor.Request{
-		View: v, Service: service, Caller: forwardedCaller, Start: start, Deadline: deadline, Way: networkDelay(r.Context(), start),
-		Passed: &leafclient.ForwardedRequest{
+		View: v, Service: service, Caller: forwardedCaller, Start: start, Deadline: deadline, NetworkDelay: networkDelay(r.Context(), start),
+		Forwarded: &leafclient.ForwardedRequest{
 			ID: r.Header.Get(g.config.Headers.RequestID), Method: r.Method, Target: target, Host: r.Host,
 			Header: endToEndHeaders(r.Header), Body: body,
 		},
--- a/entry/gateway/gather.go
+++ b/entry/gateway/gather.go
@@ -58,7 +58,7 @@
 	go func() {
 		answer, err := g.config.Executor.Forward(ctx, &executor.Request{
 			View: v, Service: request.Service, Caller: forwardedCaller, Start: request.Start, Deadline: request.Deadline,
-			Way: request.NetworkDelay, Passed: request.Forwarded, Only: request.ShardGroups, Interim: func(a *query.Answer) { s.setAnswer(a, nil, false) },
+			NetworkDelay: request.NetworkDelay, Forwarded: request.Forwarded, OnlyShards: request.ShardGroups, OnInterim: func(a *query.Answer) { s.setAnswer(a, nil, false) },
 		})
 		s.setAnswer(answer, err, true)
 	}()
--- a/entry/hosted/forwarding/gather.go
+++ b/entry/hosted/forwarding/gather.go
@@ -154,8 +154,8 @@
 		return &executor.GatherReply{}
 	}
 	return &executor.GatherReply{
-		Version: g.Index, Ranges: decodeRanges(g.Ranges), Going: g.Going, Sent: g.Sent, Hedges: g.Hedges, Retries: g.Retries,
-		Carried: &gateway.GatherResult{Signatures: g.Signatures, Body: reply.Body},
+		Version: g.Index, Ranges: decodeRanges(g.Ranges), HasMore: g.Going, Sent: g.Sent, Hedges: g.Hedges, Retries: g.Retries,
+		Attachment: &gateway.GatherResult{Signatures: g.Signatures, Body: reply.Body},
 	}
 }
 
@@ -171,7 +171,7 @@
 // logGather logs the first reply to a group, or the error for which there is none.
 func (f *Forwarder) logGather(ctx context.Context, r *executor.Request, g executor.Group, to fleet.Instance, reply *peerapi.ForwardReply, err error, elapsed time.Duration) {
 	d := telemetry.Decision{
-		Part: gatherLogPrefix, What: "gathered", Request: r.Passed.ID, Took: elapsed, Class: telemetry.Routine,
+		Part: gatherLogPrefix, What: "gathered", Request: r.Forwarded.ID, Took: elapsed, Class: telemetry.Routine,
 		More: []any{"by", to.Name, "to_zone", g.Zone, "ranges", len(g.Ranges), "config", r.View.Generation, "forward_delay", f.gatherDelays.upperBound()},
 	}
 	switch {
--- a/entry/hosted/forwarding/gather_test.go
+++ b/entry/hosted/forwarding/gather_test.go
@@ -172,7 +172,7 @@
 			t.Errorf("%s: %q, want %q", tc.name, got, tc.declined)
 		}
 	}
-	received := gateway.RelayedRequest{Start: time.Now(), Deadline: time.Now().Add(time.Minute), Forwarded: r.Passed}
+	received := gateway.RelayedRequest{Start: time.Now(), Deadline: time.Now().Add(time.Minute), Forwarded: r.Forwarded}
 	removed := &peerapi.ForwardRequest{Version: 5, Gather: &peerapi.Gather{Service: "r", Upstream: "set-that-was", TopK: 1}}
 	if reply, rest := n.runGather(t.Context(), r.View, removed, received); rest != nil || reply.Gathered.Refused == "" || len(reply.Gathered.Ranges) != 0 {
 		t.Errorf("a set of shards that was removed after the offer is not refused: %+v", reply.Gathered)
--- a/entry/hosted/forwarding/relay.go
+++ b/entry/hosted/forwarding/relay.go
@@ -103,11 +103,11 @@
 // forwardRequest returns the message that forwards a request now. The times in it are those
 // when the other instance has received it, after the given delay.
 func (f *Forwarder) forwardRequest(r *executor.Request, now time.Time, delay time.Duration) *peerapi.ForwardRequest {
-	p := r.Passed
+	p := r.Forwarded
 	return &peerapi.ForwardRequest{
 		Version: r.View.Generation, Request: p.ID, Method: p.Method, Target: p.Target, Host: p.Host, Header: p.Header, Body: p.Body,
 		SpentUS: (now.Sub(r.Start) + delay).Microseconds(), LeftUS: (r.Deadline.Sub(now) - delay).Microseconds(),
-		WayUS: r.Way.Microseconds(),
+		WayUS: r.NetworkDelay.Microseconds(),
 	}
 }
 
@@ -131,8 +131,8 @@
 // logRelay logs the outcome of forwarding a request to one instance.
 func (f *Forwarder) logRelay(ctx context.Context, r *executor.Request, to fleet.Instance, err error, elapsed time.Duration) {
 	d := telemetry.Decision{
-		Part: relayLogPrefix, What: "handed over", Request: r.Passed.ID, Took: elapsed,
-		More: []any{"to", to.Name, "config", r.View.Generation, "way", r.Way, "forward_delay", f.forwardDelays.upperBound()}, Class: telemetry.Outcome,
+		Part: relayLogPrefix, What: "handed over", Request: r.Forwarded.ID, Took: elapsed,
+		More: []any{"to", to.Name, "config", r.View.Generation, "way", r.NetworkDelay, "forward_delay", f.forwardDelays.upperBound()}, Class: telemetry.Outcome,
 	}
 	if err != nil {
 		d.Why = err.Error()
--- a/entry/hosted/forwarding/version_test.go
+++ b/entry/hosted/forwarding/version_test.go
@@ -24,7 +24,7 @@
 	return &query.Answer{Outcome: query.Failed, Reason: "played"}, nil
 }
 
-func (v *versionRecorder) Written(*query.Answer, time.Time) {}
+func (v *versionRecorder) RecordWritten(*query.Answer, time.Time) {}
 
 // gatewayViews adds to a fixture the methods that a gateway needs besides View.
 type gatewayViews struct{ *fixture }
