--- a/entry/control/config.go
+++ b/entry/control/config.go
@@ -36,8 +36,8 @@
 	MergeQuarantine(list []peerapi.Quarantined)
 }
 
-// Log takes lines for operators; *telemetry.Part is one.
-type Log interface {
+// Logger takes lines for operators; *telemetry.Part is one.
+type Logger interface {
 	Info(msg string, pairs ...any)
 	Warn(msg string, pairs ...any)
 	Error(msg string, pairs ...any)
@@ -49,16 +49,16 @@
 	Zone     string
 	Store    Store
 	Peers    Peers
-	// Known are peer addresses to ask for the document when the platform gives
+	// KnownPeers are peer addresses to ask for the document when the platform gives
 	// neither it nor the list.
-	Known []string
+	KnownPeers []string
 	// Placement divides the leaves' connections among the entries.
 	Placement plugin.Placement
 	// Quarantine may be nil.
 	Quarantine Quarantine
 	// Publish is called with each new view, from the control goroutine.
 	Publish func(v *view.View)
-	Log     Log
+	Log     Logger
 	// Seed seeds the choice of peers and the spread of polls.
 	Seed uint64
 }
--- a/entry/control/fleet_test.go
+++ b/entry/control/fleet_test.go
@@ -50,7 +50,7 @@
 	highest uint64 // generation in force in this life
 	// switches: what fails
 	noGet, noWatch, noList, noPeers, noStore atomic.Bool
-	log                                      control.Log // nil: nothing is logged
+	log                                      control.Logger // nil: nothing is logged
 }
 
 // runFleet runs a test over n entries, all live and listed.
@@ -83,7 +83,7 @@
 		log = quiet{}
 	}
 	c := control.New(control.Config{
-		Instance: e.id, Zone: "z", Store: gate{e.f.store, e}, Peers: wire{e}, Known: []string{"entry-0", "entry-1"},
+		Instance: e.id, Zone: "z", Store: gate{e.f.store, e}, Peers: wire{e}, KnownPeers: []string{"entry-0", "entry-1"},
 		Placement: direct.New(plugin.PlacementConfig{Headroom: direct.DefaultHeadroom}),
 		Publish:   e.published, Log: log, Seed: seed,
 	})
--- a/entry/control/spread.go
+++ b/entry/control/spread.go
@@ -152,7 +152,7 @@
 		asked[p.Address] = true
 		c.spawn(func(ctx context.Context) { c.fetch(ctx, targetOf(p)) })
 	}
-	for _, address := range c.cfg.Known {
+	for _, address := range c.cfg.KnownPeers {
 		if !asked[address] {
 			c.spawn(func(ctx context.Context) { c.fetch(ctx, peer.Target{Address: address}) })
 		}
--- a/entry/node/assemble.go
+++ b/entry/node/assemble.go
@@ -27,7 +27,7 @@
 	}
 	n.peers = peer.NewClient(peer.ClientConfig{Instance: s.Instance, Key: s.Peer.Key, TLS: n.peerTLS})
 	n.control = control.New(control.Config{
-		Instance: s.Instance, Zone: s.Zone, Store: n.store, Peers: n.peers, Known: s.Peer.Known,
+		Instance: s.Instance, Zone: s.Zone, Store: n.store, Peers: n.peers, KnownPeers: s.Peer.Known,
 		Placement: placement(plugin.PlacementConfig{Headroom: placementHeadroom}), Quarantine: fleetQuarantine{n}, Publish: n.publish,
 		Log: n.log.Part("control"), Seed: uint64(time.Now().UnixNano()),
 	})
