--- a/entry/control/digest_bench_test.go
+++ b/entry/control/digest_bench_test.go
@@ -72,7 +72,7 @@
 	}
 	time.Sleep(5 * time.Second)
 	for i := range marks {
-		first.SawLeaving(fmt.Sprintf("upstream-name-%d-0", i), 0)
+		first.ObserveLeaving(fmt.Sprintf("upstream-name-%d-0", i), 0)
 	}
 	time.Sleep(12 * time.Second) // the marks are no longer fresh
 	bytes.Store(0)
--- a/entry/control/members.go
+++ b/entry/control/members.go
@@ -174,16 +174,16 @@
 	return &peerapi.Document{Generation: v.Generation, Hash: v.Hash, TOML: v.Value}
 }
 
-// SawLeaving takes a leaf's own drain mark, seen on a reply, and the leaf's start. It
+// ObserveLeaving takes a leaf's own drain mark, seen on a reply, and the leaf's start. It
 // does not wait: when too many marks are queued this one is dropped, and the leaf's next
 // reply brings it again. Any goroutine may call it.
-func (c *Control) SawLeaving(leafID string, born int64) {
+func (c *Control) ObserveLeaving(leafID string, born int64) {
 	c.sight(membership.LeavingObserved{Leaf: leafID, StartedAtMS: born})
 }
 
-// SawBorn takes a start of a leaf that was not known. One that is dropped costs at most
+// ObserveStart takes a start of a leaf that was not known. One that is dropped costs at most
 // the life of a mark. Any goroutine may call it.
-func (c *Control) SawBorn(leafID string, born int64) {
+func (c *Control) ObserveStart(leafID string, born int64) {
 	c.sight(membership.StartObserved{Leaf: leafID, StartedAtMS: born})
 }
 
@@ -195,9 +195,9 @@
 	}
 }
 
-// SpreadNow tells some peers at once what the quarantine learnt. It does not
+// PushDigests tells some peers at once what the quarantine learnt. It does not
 // wait: the next round of digests tells it in any case. Any goroutine may call it.
-func (c *Control) SpreadNow() {
+func (c *Control) PushDigests() {
 	select {
 	case c.inbox <- func(time.Time) { c.member(membership.PushNow{}) }:
 	default:
--- a/entry/executor/exchange.go
+++ b/entry/executor/exchange.go
@@ -153,10 +153,10 @@
 // Learn keeps what a leaf said of itself. It implements probe.Learner.
 func (e *Executor) Learn(leafID string, said leafclient.Said) {
 	if e.leafState.saw(leafID, said, time.Now()) {
-		e.config.LeafObserver.SawBorn(leafID, said.Born)
+		e.config.LeafObserver.ObserveStart(leafID, said.Born)
 	}
 	if said.Draining {
-		e.config.LeafObserver.SawLeaving(leafID, said.Born)
+		e.config.LeafObserver.ObserveLeaving(leafID, said.Born)
 	}
 }
 
--- a/entry/executor/executor.go
+++ b/entry/executor/executor.go
@@ -28,10 +28,10 @@
 // LeafObserver takes what replies show of leaves: a drain mark, and a start that was not
 // known. A birth of 0 is not known. It must not block.
 type LeafObserver interface {
-	SawLeaving(leafID string, born int64)
-	SawBorn(leafID string, born int64)
-	// SpreadNow asks to tell the peers at once what the quarantine learnt.
-	SpreadNow()
+	ObserveLeaving(leafID string, born int64)
+	ObserveStart(leafID string, born int64)
+	// PushDigests asks to tell the peers at once what the quarantine learnt.
+	PushDigests()
 }
 
 // Request is one caller's checked request.
--- a/entry/executor/executor_test.go
+++ b/entry/executor/executor_test.go
@@ -99,9 +99,9 @@
 // noObserver drops what replies show.
 type noObserver struct{}
 
-func (noObserver) SawLeaving(string, int64) {}
-func (noObserver) SawBorn(string, int64)    {}
-func (noObserver) SpreadNow()               {}
+func (noObserver) ObserveLeaving(string, int64) {}
+func (noObserver) ObserveStart(string, int64)   {}
+func (noObserver) PushDigests()                 {}
 
 // noLedger refuses every claim.
 type noLedger struct{}
