--- a/entry/hosted/forwarding/gather_test.go
+++ b/entry/hosted/forwarding/gather_test.go
@@ -152,7 +152,7 @@
 	n := newCrossZoneFixture(t, fakePeer{})
 	r := newTwoZoneRequest(t, 5)
 	n.view = r.View
-	n.lifecycle.Serve()
+	n.lifecycle.MarkServing()
 	name := r.View.Upstreams[0].Name
 	for _, tc := range []struct {
 		name     string
--- a/entry/hosted/forwarding/version_test.go
+++ b/entry/hosted/forwarding/version_test.go
@@ -37,7 +37,7 @@
 // the run. The request must not run with a version older than the sender's.
 func TestForwardedRequestIsNeverRunByOlderVersion(t *testing.T) {
 	n := newCrossZoneFixture(t, fakePeer{})
-	n.lifecycle.Serve()
+	n.lifecycle.MarkServing()
 	recorder := &versionRecorder{}
 	n.SetGateway(gateway.New(gateway.Config{Executor: recorder, Views: gatewayViews{n}, Lifecycle: &n.lifecycle, Log: n.config.Log}))
 	rapid.Check(t, func(rt *rapid.T) {
--- a/entry/hosted/publish.go
+++ b/entry/hosted/publish.go
@@ -33,7 +33,7 @@
 	n.executor.Follow(v)
 	n.limits.Store(&l)
 	n.view.Store(v)
-	n.lifecycle.Serve()
+	n.lifecycle.MarkServing()
 }
 
 // targets lists the leaves of a view, each once. One that several upstreams ask has the
--- a/entry/hosted/stop.go
+++ b/entry/hosted/stop.go
@@ -31,7 +31,7 @@
 	log.Info("leaving: still serving until the balancer has let go", "queries", n.executor.Running())
 	most := time.Duration(leaveShare * float64(grace))
 	sleep(ctx, min(leastLeave, most))
-	n.lifecycle.WaitQuiet(ctx, most-time.Since(begin))
+	n.lifecycle.WaitNoArrivals(ctx, most-time.Since(begin))
 	n.lifecycle.Set(lifecycle.Refusing)
 	log.Info("finishing what is in flight", "queries", n.executor.Running(), "after", time.Since(begin))
 	finish, cancel := context.WithTimeout(ctx, time.Duration(finishShare*float64(grace))-time.Since(begin))
--- a/entry/lifecycle/lifecycle.go
+++ b/entry/lifecycle/lifecycle.go
@@ -32,8 +32,8 @@
 // Get is the present phase.
 func (l *Lifecycle) Get() Phase { return Phase(l.phase.Load()) }
 
-// Serve ends the start, if the instance is still starting.
-func (l *Lifecycle) Serve() { l.phase.CompareAndSwap(int32(Starting), int32(Serving)) }
+// MarkServing ends the start, if the instance is still starting.
+func (l *Lifecycle) MarkServing() { l.phase.CompareAndSwap(int32(Starting), int32(Serving)) }
 
 // NotReady says why the balancer should send no one, "" when it should. The word for
 // an instance that starts is the caller's: what it waits for.
@@ -56,8 +56,8 @@
 	quietPoll = 50 * time.Millisecond
 )
 
-// WaitQuiet returns when no query has arrived for a second, or after most.
-func (l *Lifecycle) WaitQuiet(ctx context.Context, most time.Duration) {
+// WaitNoArrivals returns when no query has arrived for a second, or after most.
+func (l *Lifecycle) WaitNoArrivals(ctx context.Context, most time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, most)
 	defer cancel()
 	tick := time.NewTicker(quietPoll)
--- a/entry/node/drain.go
+++ b/entry/node/drain.go
@@ -31,7 +31,7 @@
 	n.lifecycle.Set(lifecycle.Leaving)
 	n.control.SetDraining()
 	log.Info("leaving: still serving until the balancer has let go")
-	n.lifecycle.WaitQuiet(ctx, n.settings.Limits.DrainTime)
+	n.lifecycle.WaitNoArrivals(ctx, n.settings.Limits.DrainTime)
 	n.lifecycle.Set(lifecycle.Refusing)
 	log.Info("finishing what is in flight", "queries", n.executor.Running())
 	finish, cancel := context.WithTimeout(ctx, n.longestDeadline()+finishTime)
--- a/entry/node/node.go
+++ b/entry/node/node.go
@@ -108,7 +108,7 @@
 	n.leaves.Apply(probe.Targets(v))
 	n.executor.Follow(v)
 	n.view.Store(v)
-	n.lifecycle.Serve()
+	n.lifecycle.MarkServing()
 }
 
 // Stop starts a graceful stop. It returns at once; Run ends when it is done.
