--- a/entry/control/config.go
+++ b/entry/control/config.go
@@ -1,6 +1,7 @@
-// Package control is the one goroutine that owns an entry's configuration and
-// membership. It runs the rollout and membership machines, does their I/O, and
-// publishes an immutable view that traffic goroutines read.
+// Package control owns the configuration and the membership of an entry
+// instance. One goroutine runs the state machines of kernel/rollout and
+// kernel/membership, starts the I/O that they ask for, and publishes an immutable
+// view, which the goroutines that serve queries read.
 package control
 
 import (
@@ -14,7 +15,8 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/view"
 )
 
-// Store is the platform's service; *platform.Client is one.
+// Store is the platform's object store and list of instances. *platform.Client
+// implements it.
 type Store interface {
 	Get(ctx context.Context, kind, name string) (platformapi.Object, error)
 	Put(ctx context.Context, kind, name string, ifVersion uint64, value []byte) (uint64, error)
@@ -23,42 +25,44 @@
 	Instances(ctx context.Context) ([]platformapi.Instance, error)
 }
 
-// Peers calls other entries; *peer.Client is one.
+// Peers sends calls to other entry instances. *peer.Client implements it.
 type Peers interface {
 	Digest(ctx context.Context, t peer.Target, d *peerapi.Digest) (*peerapi.Digest, error)
 	Document(ctx context.Context, t peer.Target, above uint64) (*peerapi.Document, error)
 	Keep(targets []peer.Target)
 }
 
-// Quarantine is what digests carry of the quarantine; *executor.Executor is one.
+// Quarantine gives and takes the quarantined leaves that digests carry.
+// *executor.Executor implements it.
 type Quarantine interface {
 	Quarantine() []peerapi.Quarantined
 	MergeQuarantine(list []peerapi.Quarantined)
 }
 
-// Logger takes lines for operators; *telemetry.Part is one.
+// Logger writes log lines for operators. *telemetry.Part implements it.
 type Logger interface {
 	Info(msg string, pairs ...any)
 	Warn(msg string, pairs ...any)
 	Error(msg string, pairs ...any)
 }
 
-// Config is what control needs.
+// Config is the configuration of a Control.
 type Config struct {
 	Instance string
 	Zone     string
 	Store    Store
 	Peers    Peers
-	// KnownPeers are peer addresses to ask for the document when the platform gives
-	// neither it nor the list.
+	// KnownPeers are addresses of peers to ask for the configuration document if
+	// the platform provides neither it nor the list of instances.
 	KnownPeers []string
-	// Placement divides the leaves' connections among the entries.
+	// Placement divides each leaf's connection limit among the entries.
 	Placement plugin.Placement
 	// Quarantine may be nil.
 	Quarantine Quarantine
-	// Publish is called with each new view, from the control goroutine.
+	// Publish is called with each new view, from the control goroutine; it may be
+	// nil.
 	Publish func(v *view.View)
 	Log     Logger
-	// Seed seeds the choice of peers and the spread of polls.
+	// Seed seeds the random choice of peers and the jitter of polls.
 	Seed uint64
 }
--- a/entry/control/control.go
+++ b/entry/control/control.go
@@ -14,35 +14,39 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/view"
 )
 
-// Bounds and times of control.
+// Queue lengths and times of the control goroutine.
 const (
+	// inboxLength is the number of steps that may wait before posting blocks.
 	inboxLength = 256
-	marksLength = 1024
+	// observationsLength is the number of observations of leaves that may wait
+	// before further ones are dropped.
+	observationsLength = 1024
 	// peerTimeout bounds one call to a peer.
 	peerTimeout = time.Second
-	// listEvery is the time between reads of the list of instances.
-	listEvery = 2 * time.Second
+	// listPeriod is the mean time between reads of the list of instances; each
+	// pause varies by 10%.
+	listPeriod = 2 * time.Second
 )
 
-// Control is the control goroutine's state and its entrances. Only methods
-// that say so may be called from other goroutines.
+// Control is the state of the control goroutine and the methods that post steps
+// to it. Only methods that say so may be called from other goroutines.
 type Control struct {
 	cfg        Config
 	rollout    *rollout.Machine
 	membership *membership.Machine
 	rnd        *rand.Rand
 
-	ctx    context.Context // of Run; set before anything runs
-	inbox  chan func(now time.Time)
-	marks  chan membership.Event
-	io     sync.WaitGroup
-	closed chan struct{}
+	ctx          context.Context // the context of Run, which sets it before it starts any goroutine
+	inbox        chan func(now time.Time)
+	observations chan membership.Event
+	io           sync.WaitGroup
+	closed       chan struct{} // closed when Run returns
 
 	rolloutAt    time.Time
 	membershipAt time.Time
 	sequence     uint64
 	shares       shares
-	silent       map[string]bool // peers that did not answer the last time
+	unresponsive map[string]bool // peers that did not answer the last call
 	nextSave     rollout.SaveID
 	waiters      map[rollout.SaveID]chan rollout.Outcome
 
@@ -51,56 +55,58 @@
 	instances atomic.Pointer[[]platformapi.Instance]
 }
 
-// New makes a control; Run makes it work.
+// New returns a Control, which does nothing until Run is called.
 func New(cfg Config) *Control {
 	return &Control{
-		cfg:        cfg,
-		rollout:    rollout.New(rand.New(rand.NewPCG(cfg.Seed, 1))),
-		membership: membership.New(membership.DefaultConfig(cfg.Instance, cfg.Seed)),
-		rnd:        rand.New(rand.NewPCG(cfg.Seed, 4)),
-		inbox:      make(chan func(time.Time), inboxLength),
-		marks:      make(chan membership.Event, marksLength),
-		closed:     make(chan struct{}),
-		waiters:    make(map[rollout.SaveID]chan rollout.Outcome),
-		shares:     newShares(),
-		silent:     make(map[string]bool),
+		cfg:          cfg,
+		rollout:      rollout.New(rand.New(rand.NewPCG(cfg.Seed, 1))),
+		membership:   membership.New(membership.DefaultConfig(cfg.Instance, cfg.Seed)),
+		rnd:          rand.New(rand.NewPCG(cfg.Seed, 4)),
+		inbox:        make(chan func(time.Time), inboxLength),
+		observations: make(chan membership.Event, observationsLength),
+		closed:       make(chan struct{}),
+		waiters:      make(map[rollout.SaveID]chan rollout.Outcome),
+		shares:       newShares(),
+		unresponsive: make(map[string]bool),
 	}
 }
 
-// View is the view in force; nil before there is a document. Any goroutine may
-// call it.
+// View returns the view in force, or nil before there is a document. Any
+// goroutine may call it.
 func (c *Control) View() *view.View { return c.view.Load() }
 
-// Run works until the context ends. It is called once.
+// Run is the control goroutine; it returns nil when ctx ends. It must be called
+// once.
 func (c *Control) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	c.ctx = ctx
 	defer c.io.Wait()
 	defer close(c.closed)
 	defer cancel()
-	c.spawn(c.follow)
-	c.spawn(c.pollList)
-	c.roll(rollout.Start{})
-	c.member(membership.Tick{})
+	c.spawn(c.watchConfig)
+	c.spawn(c.pollInstances)
+	c.handleRollout(rollout.Start{})
+	c.handleMembership(membership.Tick{})
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		timer.Reset(c.untilWake())
+		timer.Reset(c.timeToNextTick())
 		select {
 		case <-ctx.Done():
 			return nil
 		case run := <-c.inbox:
 			run(time.Now())
-		case mark := <-c.marks:
-			c.member(mark)
+		case observation := <-c.observations:
+			c.handleMembership(observation)
 		case <-timer.C:
 			c.tick(time.Now())
 		}
 	}
 }
 
-// untilWake is the time to the next tick of a machine.
-func (c *Control) untilWake() time.Duration {
+// timeToNextTick returns the time until the next tick of a state machine or the
+// next growth of connection shares.
+func (c *Control) timeToNextTick() time.Duration {
 	at := c.membershipAt
 	for _, other := range []time.Time{c.rolloutAt, c.shares.growAt()} {
 		if !other.IsZero() && other.Before(at) {
@@ -110,21 +116,22 @@
 	return max(0, time.Until(at))
 }
 
-// tick gives the machines the ticks that are due.
+// tick passes due ticks to the state machines, and publishes a new view when
+// connection shares may grow.
 func (c *Control) tick(now time.Time) {
 	if !c.rolloutAt.IsZero() && !now.Before(c.rolloutAt) {
 		c.rolloutAt = time.Time{}
-		c.roll(rollout.Tick{})
+		c.handleRollout(rollout.Tick{})
 	}
 	if !now.Before(c.membershipAt) {
-		c.member(membership.Tick{})
+		c.handleMembership(membership.Tick{})
 	}
 	if at := c.shares.growAt(); !at.IsZero() && !now.Before(at) {
 		c.publish()
 	}
 }
 
-// spawn runs I/O apart from the control goroutine.
+// spawn runs f, which does I/O, in a goroutine of its own. Run waits for it.
 func (c *Control) spawn(f func(ctx context.Context)) {
 	c.io.Add(1)
 	go func() {
@@ -133,8 +140,8 @@
 	}()
 }
 
-// post hands a step to the control goroutine. It reports whether the step will
-// run; it waits while the inbox is full.
+// post queues a step for the control goroutine and waits while the inbox is full.
+// It reports false, without queueing, if ctx ends or Run returns first.
 func (c *Control) post(ctx context.Context, step func(now time.Time)) bool {
 	select {
 	case c.inbox <- step:
@@ -145,8 +152,9 @@
 	return false
 }
 
-// ask runs a step on the control goroutine and waits until it has run.
-func (c *Control) ask(ctx context.Context, step func(now time.Time)) bool {
+// runAndWait runs a step on the control goroutine and waits for its end. It
+// reports false if ctx ends or Run returns first; the step may then still run.
+func (c *Control) runAndWait(ctx context.Context, step func(now time.Time)) bool {
 	done := make(chan struct{})
 	posted := c.post(ctx, func(now time.Time) {
 		step(now)
@@ -164,25 +172,26 @@
 	return false
 }
 
-// follow watches the configuration. An update may repeat what is known, or be
-// older: the machine compares generations.
-func (c *Control) follow(ctx context.Context) {
+// watchConfig watches the configuration object in the store. An update may repeat
+// a known version or bring an older one, as the state machine compares
+// generations.
+func (c *Control) watchConfig(ctx context.Context) {
 	cfg := platform.FollowConfig{
 		Kind: platformapi.KindConfig,
 		Rand: rand.New(rand.NewPCG(c.cfg.Seed, 2)),
 		Failed: func(err error, retryIn time.Duration) {
 			c.cfg.Log.Warn("watch of the configuration failed", "err", err, "retry_in", retryIn)
-			c.post(ctx, func(now time.Time) { c.watched(false, now) })
+			c.post(ctx, func(now time.Time) { c.setWatchWorking(false, now) })
 		},
 	}
 	err := platform.Follow(ctx, c.cfg.Store, cfg, func(u platform.Update) {
-		c.post(ctx, func(now time.Time) { c.watched(true, now) })
+		c.post(ctx, func(now time.Time) { c.setWatchWorking(true, now) })
 		for _, obj := range u.Objects {
-			c.sawObject(ctx, obj)
+			c.handleWatchedObject(ctx, obj)
 		}
 		for _, e := range u.Events {
 			if !e.Deleted {
-				c.sawObject(ctx, e.Object)
+				c.handleWatchedObject(ctx, e.Object)
 			}
 		}
 	})
@@ -191,31 +200,32 @@
 	}
 }
 
-// watched tells the machine whether the watch works. A tick lets it plan its
-// next poll by that.
-func (c *Control) watched(works bool, now time.Time) {
+// setWatchWorking tells the rollout machine whether the watch works, and passes it
+// a tick so that it schedules its next poll accordingly.
+func (c *Control) setWatchWorking(works bool, now time.Time) {
 	c.rollout.SetWatchWorking(works, now)
-	c.roll(rollout.Tick{})
+	c.handleRollout(rollout.Tick{})
 }
 
-// sawObject hands an object of a watch to the machine.
-func (c *Control) sawObject(ctx context.Context, obj platformapi.Object) {
+// handleWatchedObject passes the configuration from a watch update to the rollout
+// machine and ignores all other objects.
+func (c *Control) handleWatchedObject(ctx context.Context, obj platformapi.Object) {
 	if obj.Name != platformapi.NameConfig {
 		return
 	}
 	v := c.parse(obj.Version, obj.Value)
-	c.post(ctx, func(time.Time) { c.roll(rollout.VersionSeen{Version: v, Source: rollout.SourceWatch}) })
+	c.post(ctx, func(time.Time) { c.handleRollout(rollout.VersionSeen{Version: v, Source: rollout.SourceWatch}) })
 }
 
-// pollList reads the list of instances now and then.
-func (c *Control) pollList(ctx context.Context) {
+// pollInstances reads the list of instances about every listPeriod until ctx ends.
+func (c *Control) pollInstances(ctx context.Context) {
 	rnd := rand.New(rand.NewPCG(c.cfg.Seed, 3))
 	for {
 		list, err := c.cfg.Store.Instances(ctx)
 		if err == nil {
-			c.post(ctx, func(time.Time) { c.listed(list) })
+			c.post(ctx, func(time.Time) { c.handleInstanceList(list) })
 		}
-		pause := listEvery*9/10 + time.Duration(rnd.Int64N(int64(listEvery/5)))
+		pause := listPeriod*9/10 + time.Duration(rnd.Int64N(int64(listPeriod/5)))
 		select {
 		case <-ctx.Done():
 			return
@@ -224,13 +234,14 @@
 	}
 }
 
-// publish builds and publishes a view of the document in force.
+// publish builds and publishes a view of the document in force; without a
+// document it does nothing.
 func (c *Control) publish() {
 	v := c.rollout.Current()
 	if v.Document == nil {
 		return
 	}
-	c.shares.begin(time.Now())
+	c.shares.startRound(time.Now())
 	built := view.Build(v.Generation, v.Hash, v.Document, c.membership.Leaving, c.share)
 	c.sequence++
 	built.Sequence = c.sequence
--- a/entry/control/control_test.go
+++ b/entry/control/control_test.go
@@ -12,80 +12,84 @@
 	"github.com/fuchsiaroad/fuchsiaroad/entry/platform/platformtest"
 )
 
-// settleTime lets lists and first digests pass.
-const settleTime = 3 * time.Second
+// convergenceTime is enough for all entries to read the list of instances and to
+// exchange first digests.
+const convergenceTime = 3 * time.Second
 
-func TestInForceEverywhereWithinTwoSeconds(t *testing.T) {
+func TestSaveIsInForceEverywhereWithinTwoSeconds(t *testing.T) {
 	runFleet(t, 8, func(f *fleet) {
-		time.Sleep(settleTime)
+		time.Sleep(convergenceTime)
 		for i := range 5 {
-			took := f.within(2*time.Second, f.accept(f.entries[i], i+2))
+			took := f.waitInForce(2*time.Second, f.mustSave(f.entries[i], i+2))
 			t.Logf("in force at 8 entries %v after acceptance", took)
 		}
 	})
 }
 
-// TestEachWayAlone leaves only one of watch, poll and digest working.
-func TestEachWayAlone(t *testing.T) {
-	ways := map[string]func(e *entry){
+// TestEachDistributionPathSuffices disables all but one of watch, poll and digests;
+// that one alone must bring a saved version to all entries within 2 s.
+func TestEachDistributionPathSuffices(t *testing.T) {
+	paths := map[string]func(e *entry){
 		"watch":  func(e *entry) { e.noGet.Store(true); e.noPeers.Store(true) },
 		"poll":   func(e *entry) { e.noWatch.Store(true); e.noPeers.Store(true) },
 		"digest": func(e *entry) { e.noGet.Store(true); e.noWatch.Store(true) },
 	}
-	for name, switchOff := range ways {
+	for name, disableOthers := range paths {
 		t.Run(name, func(t *testing.T) {
 			runFleet(t, 8, func(f *fleet) {
-				time.Sleep(settleTime)
-				f.within(2*time.Second, f.accept(f.entries[0], 2))
+				time.Sleep(convergenceTime)
+				f.waitInForce(2*time.Second, f.mustSave(f.entries[0], 2))
 				for _, e := range f.entries {
-					switchOff(e)
+					disableOthers(e)
 				}
-				time.Sleep(settleTime)
-				t.Logf("by %s alone %v", name, f.within(2*time.Second, f.accept(f.entries[3], 3)))
+				time.Sleep(convergenceTime)
+				t.Logf("by %s alone %v", name, f.waitInForce(2*time.Second, f.mustSave(f.entries[3], 3)))
 			})
 		})
 	}
 }
 
-// TestStoreGoneAfterAcceptance takes the whole platform away at the moment of
-// acceptance, also from half of the entries before it.
-func TestStoreGoneAfterAcceptance(t *testing.T) {
+// TestVersionSpreadsThoughStoreFailsAfterSave cuts half of the entries off from the
+// store before a save and takes the whole store down right after it is accepted.
+// Digests alone must spread the version.
+func TestVersionSpreadsThoughStoreFailsAfterSave(t *testing.T) {
 	runFleet(t, 8, func(f *fleet) {
-		time.Sleep(settleTime)
-		f.within(2*time.Second, f.accept(f.entries[0], 2))
+		time.Sleep(convergenceTime)
+		f.waitInForce(2*time.Second, f.mustSave(f.entries[0], 2))
 		for _, e := range f.entries[4:] {
 			e.noStore.Store(true)
 		}
-		generation := f.accept(f.entries[0], 3)
+		generation := f.mustSave(f.entries[0], 3)
 		f.store.SetFaults(platformtest.Faults{Down: true})
 		for _, e := range f.entries {
 			e.noStore.Store(true)
 		}
-		t.Logf("with the store gone in force after %v", f.within(5*time.Second, generation))
+		t.Logf("with the store gone in force after %v", f.waitInForce(5*time.Second, generation))
 	})
 }
 
-// TestHalfCutFromTheStore saves while half of the entries can't reach it.
-func TestHalfCutFromTheStore(t *testing.T) {
+// TestSaveWithHalfOfTheEntriesCutFromTheStore saves at an entry with the store
+// while half of the entries can't reach it; a save at one of those is refused.
+func TestSaveWithHalfOfTheEntriesCutFromTheStore(t *testing.T) {
 	runFleet(t, 8, func(f *fleet) {
-		time.Sleep(settleTime)
+		time.Sleep(convergenceTime)
 		for _, e := range f.entries[4:] {
 			e.noStore.Store(true)
 		}
-		f.within(2*time.Second, f.accept(f.entries[1], 2))
+		f.waitInForce(2*time.Second, f.mustSave(f.entries[1], 2))
 		if r := f.entries[7].save(3); r.State != operators.Refused {
 			t.Errorf("a save at an entry without the store: %+v", r.Outcome)
 		}
 	})
 }
 
-// TestRestartDuringOutage replaces every entry, one after the other, while the
-// platform gives neither configuration nor list.
-func TestRestartDuringOutage(t *testing.T) {
+// TestRestartedEntriesGetTheDocumentFromPeers restarts every entry, one after
+// the other, while the platform provides neither the configuration nor the list.
+func TestRestartedEntriesGetTheDocumentFromPeers(t *testing.T) {
 	runFleet(t, 8, func(f *fleet) {
-		time.Sleep(settleTime)
-		generation := f.accept(f.entries[0], 2)
-		f.within(2*time.Second, generation)
+		time.Sleep(convergenceTime)
+		generation := f.mustSave(f.entries[0], 2)
+		f.waitInForce(2*time.Second, generation)
 		for _, e := range f.entries {
 			e.noStore.Store(true)
 			e.noList.Store(true)
@@ -93,13 +97,13 @@
 		for i, e := range f.entries {
 			e.stop()
 			e.start(uint64(100 + i))
-			f.within(5*time.Second, generation)
+			f.waitInForce(5*time.Second, generation)
 		}
 	})
 }
 
-// TestNothingIsServedWithoutADocument checks a fresh entry that reaches no one.
-func TestNothingIsServedWithoutADocument(t *testing.T) {
+// TestNoViewWithoutADocument checks an entry whose store holds no document.
+func TestNoViewWithoutADocument(t *testing.T) {
 	runFleet(t, 1, func(f *fleet) {
 		time.Sleep(time.Minute)
 		if f.entries[0].control.Load().View() != nil {
@@ -108,13 +112,13 @@
 	})
 }
 
-// TestOperatorsRacing has ten operators save over the same version at the same
-// time, again and again, while replies are lost and reads are stale.
-func TestOperatorsRacing(t *testing.T) {
+// TestOneOfConcurrentSavesIsAccepted has ten operators save over the same version
+// at the same time, in ten rounds, while replies are lost and reads are stale.
+func TestOneOfConcurrentSavesIsAccepted(t *testing.T) {
 	runFleet(t, 8, func(f *fleet) {
-		time.Sleep(settleTime)
-		base := f.accept(f.entries[0], 2)
-		f.within(2*time.Second, base)
+		time.Sleep(convergenceTime)
+		base := f.mustSave(f.entries[0], 2)
+		f.waitInForce(2*time.Second, base)
 		for round := range 10 {
 			f.store.SetFaults(platformtest.Faults{
 				Latency: 5 * time.Millisecond, Jitter: 20 * time.Millisecond, StaleReads: 0.3,
@@ -143,18 +147,19 @@
 			if accepted != 1 {
 				t.Fatalf("round %d: %d of 10 saves over version %d were accepted", round, accepted, base)
 			}
-			f.within(2*time.Second, won)
-			f.holds(time.Second, won)
+			f.waitInForce(2*time.Second, won)
+			f.checkStaysInForce(time.Second, won)
 			base = won
 		}
 	})
 }
 
-// TestLostReplyWithTheStoreGone checks that a submitter is told "unknown".
-func TestLostReplyWithTheStoreGone(t *testing.T) {
+// TestSaveWithLostReplyAndUnreadableStoreIsUnknown loses the reply to the write and
+// fails all reads: the submitter must be told "unknown".
+func TestSaveWithLostReplyAndUnreadableStoreIsUnknown(t *testing.T) {
 	runFleet(t, 2, func(f *fleet) {
-		time.Sleep(settleTime)
-		f.accept(f.entries[0], 2)
+		time.Sleep(convergenceTime)
+		f.mustSave(f.entries[0], 2)
 		f.store.SetFaults(platformtest.Faults{LoseAfter: 1, FailReads: 1})
 		f.entries[0].noWatch.Store(true)
 		f.entries[1].noStore.Store(true)
@@ -163,35 +168,37 @@
 		}
 		f.store.SetFaults(platformtest.Faults{})
 		f.entries[1].noStore.Store(false)
-		f.within(5*time.Second, 2)
+		f.waitInForce(5*time.Second, 2)
 	})
 }
 
-// TestInvalidDocumentInTheStore checks that a foreign write does no harm and
-// can be replaced.
-func TestInvalidDocumentInTheStore(t *testing.T) {
+// TestInvalidDocumentInTheStoreIsRejectedAndReplaceable writes an invalid document to
+// the store directly. The version before stays in force, and a save can replace the
+// invalid one.
+func TestInvalidDocumentInTheStoreIsRejectedAndReplaceable(t *testing.T) {
 	runFleet(t, 3, func(f *fleet) {
-		time.Sleep(settleTime)
-		generation := f.accept(f.entries[0], 2)
-		f.within(2*time.Second, generation)
+		time.Sleep(convergenceTime)
+		generation := f.mustSave(f.entries[0], 2)
+		f.waitInForce(2*time.Second, generation)
 		foreign, err := f.store.Put(context.Background(), platformapi.KindConfig, platformapi.NameConfig, generation, []byte("site = 3"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(settleTime)
+		time.Sleep(convergenceTime)
 		current, _ := f.entries[1].control.Load().Current()
 		if current.Generation != generation || current.Base != foreign || current.Fault == "" {
 			t.Errorf("current %d, base %d, fault %q", current.Generation, current.Base, current.Fault)
 		}
-		f.within(2*time.Second, f.accept(f.entries[2], 4))
+		f.waitInForce(2*time.Second, f.mustSave(f.entries[2], 4))
 	})
 }
 
-// TestLeavingLeafReachesEveryView marks a leaf at one entry.
+// TestLeavingLeafReachesEveryView observes a leaf's drain mark at one entry and
+// checks that all views show the leaf as draining, and no other leaf.
 func TestLeavingLeafReachesEveryView(t *testing.T) {
 	runFleet(t, 8, func(f *fleet) {
-		time.Sleep(settleTime)
-		f.within(2*time.Second, f.accept(f.entries[0], 2))
+		time.Sleep(convergenceTime)
+		f.waitInForce(2*time.Second, f.mustSave(f.entries[0], 2))
 		leaf := samples.CapBon(samples.CapBonBasePort).Upstreams[0].Shards[3].Leaves[1].ID
 		f.entries[5].control.Load().ObserveLeaving(leaf, 0)
 		time.Sleep(3 * time.Second)
@@ -205,12 +212,13 @@
 	})
 }
 
-// TestStatusNamesEveryInstance checks the generation in force per instance.
-func TestStatusNamesEveryInstance(t *testing.T) {
+// TestStatusListsEveryInstance checks that the status of one entry lists all
+// eight with the generation in force at each.
+func TestStatusListsEveryInstance(t *testing.T) {
 	runFleet(t, 8, func(f *fleet) {
-		time.Sleep(settleTime)
-		generation := f.accept(f.entries[0], 2)
-		time.Sleep(settleTime)
+		time.Sleep(convergenceTime)
+		generation := f.mustSave(f.entries[0], 2)
+		time.Sleep(convergenceTime)
 		status := f.entries[6].control.Load().ConfigStatus()
 		if len(status.Instances) != 8 || status.Highest != generation {
 			t.Fatalf("status %+v", status)
@@ -223,20 +231,21 @@
 	})
 }
 
-// TestSaverAndStoreGone takes the store away at acceptance and the entry that
-// saved a moment later: what it pushed must be enough.
-func TestSaverAndStoreGone(t *testing.T) {
+// TestVersionSpreadsThoughSaverAndStoreFail cuts the saving entry off from
+// the store after the save, as all others were before it, and restarts that entry
+// 10 ms later: the digests that it sent at once must spread the version.
+func TestVersionSpreadsThoughSaverAndStoreFail(t *testing.T) {
 	runFleet(t, 8, func(f *fleet) {
-		time.Sleep(settleTime)
-		f.within(2*time.Second, f.accept(f.entries[0], 2))
+		time.Sleep(convergenceTime)
+		f.waitInForce(2*time.Second, f.mustSave(f.entries[0], 2))
 		for _, e := range f.entries[1:] {
 			e.noStore.Store(true)
 		}
-		generation := f.accept(f.entries[0], 3)
+		generation := f.mustSave(f.entries[0], 3)
 		f.entries[0].noStore.Store(true)
 		time.Sleep(10 * time.Millisecond)
 		f.entries[0].stop()
 		f.entries[0].start(99)
-		f.within(5*time.Second, generation)
+		f.waitInForce(5*time.Second, generation)
 	})
 }
--- a/entry/control/digest_bench_test.go
+++ b/entry/control/digest_bench_test.go
@@ -18,12 +18,12 @@
 	"github.com/fuchsiaroad/fuchsiaroad/plugins/direct"
 )
 
-// benchKey is the peers' shared key of the measurement.
+// benchKey is the shared key of the benchmark's peers.
 var benchKey = []byte("0123456789abcdef")
 
 // BenchmarkDigests runs a fleet over loopback TCP in real time; one iteration
-// is one second. It reports what digests cost one node: bytes sent and
-// received, and processor time, the store's fake and the list included.
+// is one second. It reports the cost of digests per node: bytes sent and received,
+// and CPU time, which includes that of the fake store and the polls of the list.
 func BenchmarkDigests(b *testing.B) {
 	for _, n := range []int{8, 64, 256} {
 		for _, marks := range []int{0, 64} {
@@ -32,7 +32,7 @@
 	}
 }
 
-// benchFleet measures a fleet in which a number of leaves are leaving.
+// benchFleet runs n nodes, with marks leaves that are leaving.
 func benchFleet(b *testing.B, n, marks int) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -41,7 +41,7 @@
 	defer cancel()
 	var bytes atomic.Int64
 	store := benchStore{Store: platformtest.New(1)}
-	if _, err := store.Put(ctx, platformapi.KindConfig, platformapi.NameConfig, 0, text(2)); err != nil {
+	if _, err := store.Put(ctx, platformapi.KindConfig, platformapi.NameConfig, 0, documentText(2)); err != nil {
 		b.Fatal(err)
 	}
 	listeners := make([]net.Listener, n)
@@ -50,7 +50,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		listeners[i] = counted{l, &bytes}
+		listeners[i] = countingListener{l, &bytes}
 		store.list = append(store.list, platformapi.Instance{
 			ID: fmt.Sprint(i), Role: platformapi.RoleEntry, PeerAddress: l.Addr().String(), State: platformapi.StateLive,
 		})
@@ -60,7 +60,7 @@
 		client := peer.NewClient(peer.ClientConfig{Instance: fmt.Sprint(i), Key: benchKey})
 		defer client.Close()
 		c := control.New(control.Config{
-			Instance: fmt.Sprint(i), Store: store, Peers: client, Log: quiet{}, Seed: uint64(i),
+			Instance: fmt.Sprint(i), Store: store, Peers: client, Log: discardLogger{}, Seed: uint64(i),
 			Placement: direct.New(plugin.PlacementConfig{}),
 		})
 		if first == nil {
@@ -74,7 +74,7 @@
 	for i := range marks {
 		first.ObserveLeaving(fmt.Sprintf("upstream-name-%d-0", i), 0)
 	}
-	time.Sleep(12 * time.Second) // the marks are no longer fresh
+	time.Sleep(12 * time.Second) // until the marks are no longer sent as fresh
 	bytes.Store(0)
 	cpu := cpuTime(b)
 	b.ResetTimer()
@@ -88,7 +88,7 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// benchStore is the store with a fixed list of instances.
+// benchStore is a fake store with a fixed list of instances.
 type benchStore struct {
 	*platformtest.Store
 	list []platformapi.Instance
@@ -96,7 +96,7 @@
 
 func (s benchStore) Instances(context.Context) ([]platformapi.Instance, error) { return s.list, nil }
 
-// cpuTime is the processor time of this process.
+// cpuTime returns the CPU time that this process has used.
 func cpuTime(b *testing.B) time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -105,32 +105,32 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// counted counts the bytes of accepted connections.
-type counted struct {
+// countingListener counts the bytes read and written on accepted connections.
+type countingListener struct {
 	net.Listener
 	bytes *atomic.Int64
 }
 
-func (c counted) Accept() (net.Conn, error) {
+func (c countingListener) Accept() (net.Conn, error) {
 	conn, err := c.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return countedConn{conn, c.bytes}, nil
+	return countingConn{conn, c.bytes}, nil
 }
 
-type countedConn struct {
+type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
-func (c countedConn) Read(p []byte) (int, error) {
+func (c countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-func (c countedConn) Write(p []byte) (int, error) {
+func (c countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.bytes.Add(int64(n))
 	return n, err
--- a/entry/control/fleet_test.go
+++ b/entry/control/fleet_test.go
@@ -29,16 +29,16 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-var errCut = errors.New("cut off")
+var errDisconnected = errors.New("cut off")
 
-// fleet is a set of entries over one store, in virtual time.
+// fleet is a set of entries with one store, in the virtual time of synctest.
 type fleet struct {
 	t       *testing.T
 	store   *platformtest.Store
 	entries []*entry
 }
 
-// entry is one entry with switches for what it can reach.
+// entry is one entry with switches that cut its connections.
 type entry struct {
 	f       *fleet
 	id      string
@@ -47,8 +47,9 @@
 	done    chan struct{}
 
 	mu      sync.Mutex
-	highest uint64 // generation in force in this life
-	// switches: what fails
+	highest uint64 // generation in force since the last start
+	// If set, these calls fail: reads of the configuration, watches, reads of the
+	// list of instances, calls to and from peers, all calls to the store.
 	noGet, noWatch, noList, noPeers, noStore atomic.Bool
 	log                                      control.Logger // nil: nothing is logged
 }
@@ -71,7 +72,7 @@
 	})
 }
 
-// start begins a new life of the entry; it remembers nothing.
+// start starts the entry with no state from an earlier run.
 func (e *entry) start(seed uint64) {
 	e.mu.Lock()
 	e.highest = 0
@@ -80,10 +81,10 @@
 	e.cancel, e.done = cancel, make(chan struct{})
 	log := e.log
 	if log == nil {
-		log = quiet{}
+		log = discardLogger{}
 	}
 	c := control.New(control.Config{
-		Instance: e.id, Zone: "z", Store: gate{e.f.store, e}, Peers: wire{e}, KnownPeers: []string{"entry-0", "entry-1"},
+		Instance: e.id, Zone: "z", Store: faultyStore{e.f.store, e}, Peers: peerLink{e}, KnownPeers: []string{"entry-0", "entry-1"},
 		Placement: direct.New(plugin.PlacementConfig{Headroom: direct.DefaultHeadroom}),
 		Publish:   e.published, Log: log, Seed: seed,
 	})
@@ -102,7 +103,7 @@
 	<-e.done
 }
 
-// published checks that no view takes the configuration back.
+// published checks that the generation in force never decreases.
 func (e *entry) published(v *view.View) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -112,16 +113,16 @@
 	e.highest = v.Generation
 }
 
-// generation is what the entry has in force.
+// generation returns the generation in force at the entry.
 func (e *entry) generation() uint64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.highest
 }
 
-// within checks that all entries have at least the generation in force at the
-// end of a span, and returns how long it took.
-func (f *fleet) within(d time.Duration, generation uint64) time.Duration {
+// waitInForce waits until all entries have at least the generation in force, and
+// returns how long that took. It fails the test after d.
+func (f *fleet) waitInForce(d time.Duration, generation uint64) time.Duration {
 	f.t.Helper()
 	begin := time.Now()
 	for {
@@ -142,8 +143,8 @@
 	}
 }
 
-// holds checks that no entry goes back below a generation for a while.
-func (f *fleet) holds(d time.Duration, generation uint64) {
+// checkStaysInForce checks for d that no entry falls below the generation.
+func (f *fleet) checkStaysInForce(d time.Duration, generation uint64) {
 	f.t.Helper()
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		for _, e := range f.entries {
@@ -154,18 +155,20 @@
 	}
 }
 
-// save saves a changed document at an entry over the version it would show.
+// save saves a document at the entry, to replace the version that it shows to
+// operators.
 func (e *entry) save(slots int) operators.SaveResult {
 	current, _ := e.control.Load().Current()
 	return e.saveOver(slots, current.Base)
 }
 
 func (e *entry) saveOver(slots int, base uint64) operators.SaveResult {
-	return operators.Save(context.Background(), e.control.Load(), text(slots), base)
+	return operators.Save(context.Background(), e.control.Load(), documentText(slots), base)
 }
 
-// accept saves and requires acceptance.
-func (f *fleet) accept(e *entry, slots int) uint64 {
+// mustSave saves a document at e and fails the test unless it is accepted. It
+// returns the new generation.
+func (f *fleet) mustSave(e *entry, slots int) uint64 {
 	f.t.Helper()
 	r := e.save(slots)
 	if r.State != operators.Accepted {
@@ -174,107 +177,108 @@
 	return r.Generation
 }
 
-// text is a document that differs in the slots of an upstream.
-func text(slots int) []byte {
+// documentText returns a document with the given slots of its first upstream.
+func documentText(slots int) []byte {
 	doc := samples.CapBon(samples.CapBonBasePort)
 	doc.Upstreams = append([]document.Upstream(nil), doc.Upstreams...)
 	doc.Upstreams[0].Slots = slots
 	return codec.Format(doc)
 }
 
-// gate is an entry's way to the store.
-type gate struct {
+// faultyStore is the store as one entry reaches it; its calls fail as the entry's
+// switches say.
+type faultyStore struct {
 	*platformtest.Store
 	e *entry
 }
 
-func (g gate) fail(off *atomic.Bool, c platform.Call) error {
-	if off.Load() || g.e.noStore.Load() {
-		return &platform.UnavailableError{Call: c, Err: errCut}
+func (s faultyStore) fail(off *atomic.Bool, c platform.Call) error {
+	if off.Load() || s.e.noStore.Load() {
+		return &platform.UnavailableError{Call: c, Err: errDisconnected}
 	}
 	return nil
 }
 
-func (g gate) Get(ctx context.Context, kind, name string) (platformapi.Object, error) {
-	if err := g.fail(&g.e.noGet, platform.CallGet); err != nil {
+func (s faultyStore) Get(ctx context.Context, kind, name string) (platformapi.Object, error) {
+	if err := s.fail(&s.e.noGet, platform.CallGet); err != nil {
 		return platformapi.Object{}, err
 	}
-	return g.Store.Get(ctx, kind, name)
+	return s.Store.Get(ctx, kind, name)
 }
 
-func (g gate) List(ctx context.Context, kind string) (platformapi.List, error) {
-	if err := g.fail(&g.e.noWatch, platform.CallList); err != nil {
+func (s faultyStore) List(ctx context.Context, kind string) (platformapi.List, error) {
+	if err := s.fail(&s.e.noWatch, platform.CallList); err != nil {
 		return platformapi.List{}, err
 	}
-	return g.Store.List(ctx, kind)
+	return s.Store.List(ctx, kind)
 }
 
-func (g gate) Watch(ctx context.Context, kind string, since uint64, wait time.Duration) (platformapi.Events, error) {
-	if err := g.fail(&g.e.noWatch, platform.CallWatch); err != nil {
+func (s faultyStore) Watch(ctx context.Context, kind string, since uint64, wait time.Duration) (platformapi.Events, error) {
+	if err := s.fail(&s.e.noWatch, platform.CallWatch); err != nil {
 		return platformapi.Events{}, err
 	}
-	events, err := g.Store.Watch(ctx, kind, since, wait)
-	if cut := g.fail(&g.e.noWatch, platform.CallWatch); cut != nil {
+	events, err := s.Store.Watch(ctx, kind, since, wait)
+	if cut := s.fail(&s.e.noWatch, platform.CallWatch); cut != nil {
 		return platformapi.Events{}, cut
 	}
 	return events, err
 }
 
-func (g gate) Put(ctx context.Context, kind, name string, ifVersion uint64, value []byte) (uint64, error) {
-	if err := g.fail(&g.e.noStore, platform.CallPut); err != nil {
+func (s faultyStore) Put(ctx context.Context, kind, name string, ifVersion uint64, value []byte) (uint64, error) {
+	if err := s.fail(&s.e.noStore, platform.CallPut); err != nil {
 		return 0, err
 	}
-	return g.Store.Put(ctx, kind, name, ifVersion, value)
+	return s.Store.Put(ctx, kind, name, ifVersion, value)
 }
 
-func (g gate) Instances(context.Context) ([]platformapi.Instance, error) {
-	if err := g.fail(&g.e.noList, platform.CallInstances); err != nil {
+func (s faultyStore) Instances(context.Context) ([]platformapi.Instance, error) {
+	if err := s.fail(&s.e.noList, platform.CallInstances); err != nil {
 		return nil, err
 	}
 	var out []platformapi.Instance
-	for _, e := range g.e.f.entries {
+	for _, e := range s.e.f.entries {
 		out = append(out, platformapi.Instance{ID: e.id, Role: platformapi.RoleEntry, PeerAddress: e.id, State: platformapi.StateLive})
 	}
 	return out, nil
 }
 
-// wire is an entry's way to its peers; an entry's address is its ID.
-type wire struct{ e *entry }
+// peerLink calls the peers of an entry directly; an entry's address is its ID.
+type peerLink struct{ e *entry }
 
 const forwardDelay = 2 * time.Millisecond
 
-// reach finds a peer after one forwardDelay.
-func (w wire) reach(t peer.Target) (*control.Control, error) {
+// reach returns the peer with the target's address, after forwardDelay.
+func (l peerLink) reach(t peer.Target) (*control.Control, error) {
 	time.Sleep(forwardDelay)
-	for _, p := range w.e.f.entries {
-		if p.id == t.Address && p != w.e && !p.noPeers.Load() && !w.e.noPeers.Load() {
+	for _, p := range l.e.f.entries {
+		if p.id == t.Address && p != l.e && !p.noPeers.Load() && !l.e.noPeers.Load() {
 			return p.control.Load(), nil
 		}
 	}
-	return nil, errCut
+	return nil, errDisconnected
 }
 
-func (w wire) Digest(_ context.Context, t peer.Target, d *peerapi.Digest) (*peerapi.Digest, error) {
-	c, err := w.reach(t)
+func (l peerLink) Digest(_ context.Context, t peer.Target, d *peerapi.Digest) (*peerapi.Digest, error) {
+	c, err := l.reach(t)
 	if err != nil {
 		return nil, err
 	}
-	return c.Digest(w.e.id, d), nil
+	return c.Digest(l.e.id, d), nil
 }
 
-func (w wire) Document(_ context.Context, t peer.Target, above uint64) (*peerapi.Document, error) {
-	c, err := w.reach(t)
+func (l peerLink) Document(_ context.Context, t peer.Target, above uint64) (*peerapi.Document, error) {
+	c, err := l.reach(t)
 	if err != nil {
 		return nil, err
 	}
 	return c.Document(above), nil
 }
 
-func (wire) Keep([]peer.Target) {}
+func (peerLink) Keep([]peer.Target) {}
 
-// quiet drops log lines.
-type quiet struct{}
+// discardLogger is a Logger that discards all lines.
+type discardLogger struct{}
 
-func (quiet) Info(string, ...any)  {}
-func (quiet) Warn(string, ...any)  {}
-func (quiet) Error(string, ...any) {}
+func (discardLogger) Info(string, ...any)  {}
+func (discardLogger) Warn(string, ...any)  {}
+func (discardLogger) Error(string, ...any) {}
--- a/entry/control/members.go
+++ b/entry/control/membership.go
@@ -12,24 +12,25 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/rollout"
 )
 
-// Bounds on what is taken from a peer's digest.
+// Maximum numbers of list elements that are merged from a peer's digest.
 const (
 	maxLeaving     = 256
 	maxGenerations = 256
 	maxQuarantine  = 256
 )
 
-// member gives the membership machine an event and carries out its actions.
-func (c *Control) member(e membership.Event) {
+// handleMembership passes an event to the membership machine and carries out the
+// actions that it returns.
+func (c *Control) handleMembership(e membership.Event) {
 	actions := append([]membership.Action(nil), c.membership.Handle(e, time.Now())...)
 	for _, a := range actions {
 		switch a := a.(type) {
 		case membership.SendDigest:
 			c.sendDigest(a.Peer)
 		case membership.GenerationReported:
-			c.roll(rollout.PeerGeneration{Peer: a.Peer.Instance, Generation: a.Generation})
+			c.handleRollout(rollout.PeerGeneration{Peer: a.Peer.Instance, Generation: a.Generation})
 		case membership.MembersChanged:
-			c.shares.follow(c.membership.Entries(), time.Now())
+			c.shares.setEntries(c.membership.Entries(), time.Now())
 			c.rollout.SetInstanceCount(len(c.membership.Entries()))
 			c.publish()
 		case membership.WakeAt:
@@ -38,8 +39,8 @@
 	}
 }
 
-// listed takes over the platform's list.
-func (c *Control) listed(list []platformapi.Instance) {
+// handleInstanceList merges the platform's list of instances.
+func (c *Control) handleInstanceList(list []platformapi.Instance) {
 	c.instances.Store(&list)
 	event := membership.ListRead{}
 	for _, in := range list {
@@ -50,18 +51,19 @@
 	}
 	if !c.shares.listKnown {
 		c.shares.listKnown = true
-		c.shares.changed = time.Now()
+		c.shares.changedAt = time.Now()
 	}
-	c.member(event)
+	c.handleMembership(event)
 	var keep []peer.Target
 	for _, p := range c.membership.Peers() {
 		keep = append(keep, targetOf(p))
 	}
 	c.cfg.Peers.Keep(keep)
-	c.forgetSilent(c.membership.Peers())
+	c.forgetUnresponsive(c.membership.Peers())
 }
 
-// sendDigest exchanges digests with a peer.
+// sendDigest sends this instance's digest to a peer and merges the one in the
+// reply.
 func (c *Control) sendDigest(p membership.Peer) {
 	d := c.digest(time.Now())
 	c.spawn(func(ctx context.Context) {
@@ -76,33 +78,36 @@
 	})
 }
 
-// peerFailed notes a peer that did not answer, and tells operators once.
+// peerFailed records that a peer did not answer. It logs only the first failure
+// of a row.
 func (c *Control) peerFailed(instance string, err error) {
-	if !c.silent[instance] {
-		c.silent[instance] = true
+	if !c.unresponsive[instance] {
+		c.unresponsive[instance] = true
 		c.cfg.Log.Warn("peer does not answer", "peer", instance, "err", err)
 	}
-	c.member(membership.PeerFailed{Peer: instance})
+	c.handleMembership(membership.PeerFailed{Peer: instance})
 }
 
-// peerAnswered notes a peer that answers again.
+// peerAnswered records that a peer answered, and logs that if the call before it
+// had failed.
 func (c *Control) peerAnswered(instance string) {
-	if c.silent[instance] {
-		delete(c.silent, instance)
+	if c.unresponsive[instance] {
+		delete(c.unresponsive, instance)
 		c.cfg.Log.Info("peer answers again", "peer", instance)
 	}
 }
 
-// forgetSilent drops what is known of instances that are off the list.
-func (c *Control) forgetSilent(peers []membership.Peer) {
+// forgetUnresponsive removes the failure records of instances that are not in
+// peers.
+func (c *Control) forgetUnresponsive(peers []membership.Peer) {
 	listed := make(map[string]bool, len(peers))
 	for _, p := range peers {
 		listed[p.Instance] = true
 	}
-	maps.DeleteFunc(c.silent, func(instance string, _ bool) bool { return !listed[instance] })
+	maps.DeleteFunc(c.unresponsive, func(instance string, _ bool) bool { return !listed[instance] })
 }
 
-// digest builds this instance's digest.
+// digest returns this instance's digest.
 func (c *Control) digest(now time.Time) *peerapi.Digest {
 	d := c.membership.Digest(now)
 	current := c.rollout.Current()
@@ -121,33 +126,36 @@
 	return out
 }
 
-// maxAgeMS bounds a peer's word on an age; what is so old counts for nothing.
+// maxAgeMS bounds an age that a peer reports. Information of that age has long
+// expired.
 const maxAgeMS = int64(24 * time.Hour / time.Millisecond)
 
-// age is a peer's word on an age. A negative one is dropped by the machine.
-func age(ms int64) time.Duration {
+// clampAge returns an age that a peer reports, in milliseconds, as a duration from
+// -1 ms to maxAgeMS. The membership machine drops entries with a negative age.
+func clampAge(ms int64) time.Duration {
 	return time.Duration(min(max(ms, -1), maxAgeMS)) * time.Millisecond
 }
 
-// mergeDigest takes in a peer's digest, up to the bounds.
+// mergeDigest merges a peer's digest, with its lists cut to the maximum numbers.
 func (c *Control) mergeDigest(d *peerapi.Digest) {
 	in := &membership.Digest{Instance: d.Instance, Generation: d.Generation, Hash: d.Hash, Draining: d.Draining}
 	for _, l := range d.Leaving[:min(len(d.Leaving), maxLeaving)] {
-		in.Leaving = append(in.Leaving, membership.LeavingLeaf{Leaf: l.Leaf, StartedAtMS: l.Born, Age: age(l.AgeMS)})
+		in.Leaving = append(in.Leaving, membership.LeavingLeaf{Leaf: l.Leaf, StartedAtMS: l.Born, Age: clampAge(l.AgeMS)})
 	}
 	for _, g := range d.Generations[:min(len(d.Generations), maxGenerations)] {
 		in.Generations = append(in.Generations, membership.RelayedGeneration{
-			Instance: g.Instance, Generation: g.Generation, Age: age(g.AgeMS),
+			Instance: g.Instance, Generation: g.Generation, Age: clampAge(g.AgeMS),
 		})
 	}
 	if c.cfg.Quarantine != nil && len(d.Quarantine) > 0 {
 		c.cfg.Quarantine.MergeQuarantine(d.Quarantine[:min(len(d.Quarantine), maxQuarantine)])
 	}
-	c.member(membership.DigestReceived{Digest: in})
+	c.handleMembership(membership.DigestReceived{Digest: in})
 }
 
-// Digest implements peer.Handler: it takes a peer's digest and gives this
-// instance's. Any goroutine may call it.
+// Digest implements peer.Handler: it merges a peer's digest and returns this
+// instance's. If the control goroutine does not answer in time, the reply holds
+// only the instance and its zone. Any goroutine may call it.
 func (c *Control) Digest(_ string, d *peerapi.Digest) *peerapi.Digest {
 	out := &peerapi.Digest{Instance: c.cfg.Instance, Zone: c.cfg.Zone}
 	ctx, cancel := context.WithTimeout(context.Background(), peerTimeout)
@@ -165,7 +173,9 @@
 	return out
 }
 
-// Document implements peer.Handler. Any goroutine may call it.
+// Document implements peer.Handler: it returns the document in force if its
+// generation is above the given one, else an empty Document. Any goroutine may
+// call it.
 func (c *Control) Document(above uint64) *peerapi.Document {
 	v := c.current.Load()
 	if v == nil || v.Generation <= above {
@@ -174,38 +184,43 @@
 	return &peerapi.Document{Generation: v.Generation, Hash: v.Hash, TOML: v.Value}
 }
 
-// ObserveLeaving takes a leaf's own drain mark, seen on a reply, and the leaf's start. It
-// does not wait: when too many marks are queued this one is dropped, and the leaf's next
-// reply brings it again. Any goroutine may call it.
-func (c *Control) ObserveLeaving(leafID string, born int64) {
-	c.sight(membership.LeavingObserved{Leaf: leafID, StartedAtMS: born})
+// ObserveLeaving records that a reply of a leaf carried the leaf's drain mark, with
+// the time at which the leaf started in Unix milliseconds. It does not wait: if the
+// queue is full, the observation is dropped, and the leaf's next reply repeats it.
+// Any goroutine may call it.
+func (c *Control) ObserveLeaving(leafID string, startedAtMS int64) {
+	c.postObservation(membership.LeavingObserved{Leaf: leafID, StartedAtMS: startedAtMS})
 }
 
-// ObserveStart takes a start of a leaf that was not known. One that is dropped costs at most
-// the life of a mark. Any goroutine may call it.
-func (c *Control) ObserveStart(leafID string, born int64) {
-	c.sight(membership.StartObserved{Leaf: leafID, StartedAtMS: born})
+// ObserveStart records a start of a leaf that was not known, at a time in Unix
+// milliseconds. It does not wait: if the queue is full, the observation is dropped,
+// and a drain mark of the leaf's earlier process then stays until it expires. Any
+// goroutine may call it.
+func (c *Control) ObserveStart(leafID string, startedAtMS int64) {
+	c.postObservation(membership.StartObserved{Leaf: leafID, StartedAtMS: startedAtMS})
 }
 
-// sight hands over what replies showed, without waiting.
-func (c *Control) sight(ev membership.Event) {
+// postObservation queues an observation from a leaf's reply, or drops it if the
+// queue is full.
+func (c *Control) postObservation(ev membership.Event) {
 	select {
-	case c.marks <- ev:
+	case c.observations <- ev:
 	default:
 	}
 }
 
-// PushDigests tells some peers at once what the quarantine learnt. It does not
-// wait: the next round of digests tells it in any case. Any goroutine may call it.
+// PushDigests sends digests to some peers at once, to spread a change of the
+// quarantine. It does not wait: if the inbox is full, the request is dropped, as the
+// next round of digests carries the change in any case. Any goroutine may call it.
 func (c *Control) PushDigests() {
 	select {
-	case c.inbox <- func(time.Time) { c.member(membership.PushNow{}) }:
+	case c.inbox <- func(time.Time) { c.handleMembership(membership.PushNow{}) }:
 	default:
 	}
 }
 
-// SetDraining tells the peers that this instance is leaving. Any goroutine may
-// call it.
+// SetDraining makes this instance's digests say that it is draining. Any goroutine
+// may call it.
 func (c *Control) SetDraining() {
-	c.post(context.Background(), func(time.Time) { c.member(membership.Drain{}) })
+	c.post(context.Background(), func(time.Time) { c.handleMembership(membership.Drain{}) })
 }
--- a/entry/control/operators.go
+++ b/entry/control/operators.go
@@ -12,13 +12,15 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/rollout"
 )
 
-// nonceBytes is the size of a submission's nonce.
+// nonceBytes is the size of the nonce that identifies a submission.
 const nonceBytes = 16
 
-// Current implements operators.Control.
+// Current implements operators.Control: it returns the version in force. Base is
+// the generation that a save must replace, which is that of a newer invalid
+// version if there is one. The boolean is false when no version is in force.
 func (c *Control) Current() (operators.Version, bool) {
 	var current, refused rollout.Version
-	if !c.ask(context.Background(), func(time.Time) { current, refused = c.rollout.Current(), c.rollout.InvalidVersion() }) {
+	if !c.runAndWait(context.Background(), func(time.Time) { current, refused = c.rollout.Current(), c.rollout.InvalidVersion() }) {
 		return operators.Version{}, false
 	}
 	v := operators.Version{
@@ -28,7 +30,8 @@
 	return v, current.Generation > 0
 }
 
-// Submit implements operators.Control.
+// Submit implements operators.Control: it submits a save and waits for its
+// outcome, which is unknown if ctx ends first.
 func (c *Control) Submit(ctx context.Context, s operators.Submission) operators.Outcome {
 	var nonce [nonceBytes]byte
 	_, _ = rand.Read(nonce[:]) // never fails: crypto/rand ends the program instead
@@ -36,7 +39,7 @@
 	posted := c.post(ctx, func(time.Time) {
 		c.nextSave++
 		c.waiters[c.nextSave] = outcome
-		c.roll(rollout.Submit{
+		c.handleRollout(rollout.Submit{
 			ID: c.nextSave, Nonce: hex.EncodeToString(nonce[:]), TOML: s.TOML, Hash: s.Hash,
 			Document: s.Document, IfVersion: s.IfVersion,
 		})
@@ -53,7 +56,7 @@
 	return operators.Outcome{State: operators.Unknown, Reason: "the save was not settled before the submitter left"}
 }
 
-// outcomeOf is the machine's outcome in the operators' words.
+// outcomeOf converts the rollout machine's outcome to the operators' type.
 func outcomeOf(o rollout.Outcome) operators.Outcome {
 	out := operators.Outcome{
 		State: operators.State(o.State), Generation: o.Generation, Reason: o.Reason, RetryAfter: o.RetryAfter,
@@ -67,21 +70,22 @@
 	return out
 }
 
-// resolve tells a submitter, and the log, what became of a save.
-func (c *Control) resolve(a rollout.ResolveSave) {
+// resolveSave logs the outcome of a save and passes it to the waiting submitter.
+func (c *Control) resolveSave(a rollout.ResolveSave) {
 	c.cfg.Log.Info("save settled", "save", a.ID, "state", a.Outcome.State, "generation", a.Outcome.Generation)
 	waiter := c.waiters[a.ID]
 	delete(c.waiters, a.ID)
 	select {
 	case waiter <- a.Outcome:
-	default: // the submitter has its answer; the log has the rest
+	default: // no submitter waits for this outcome, which is only logged
 	}
 }
 
-// ConfigStatus implements operators.Control.
+// ConfigStatus implements operators.Control: it returns the generation in force at
+// each known instance.
 func (c *Control) ConfigStatus() callerapi.ConfigStatus {
 	var status callerapi.ConfigStatus
-	c.ask(context.Background(), func(now time.Time) {
+	c.runAndWait(context.Background(), func(now time.Time) {
 		own := c.rollout.Current()
 		status.Highest = own.Generation
 		status.Instances = append(status.Instances, callerapi.InstanceConfig{Instance: c.cfg.Instance, Generation: own.Generation, Hash: own.Hash})
@@ -95,7 +99,8 @@
 	return status
 }
 
-// Instances implements operators.Control.
+// Instances implements operators.Control: it returns the platform's last list, or
+// nil before the first.
 func (c *Control) Instances() []platformapi.Instance {
 	if list := c.instances.Load(); list != nil {
 		return *list
--- a/entry/control/spread.go
+++ b/entry/control/rollout.go
@@ -14,22 +14,25 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/rollout"
 )
 
-// pushAll is the number of peers up to which a saver tells all of them. In a
-// larger fleet it tells some, and they tell others.
-const pushAll = 64
-
-// maxAsked bounds the listed peers that one search asks for the document.
-const maxAsked = 16
-
-// roll gives the rollout machine an event and carries out its actions.
-func (c *Control) roll(e rollout.Event) {
+// maxAnnounceAll is the largest number of peers to all of which the instance that
+// saved a version sends its digest at once. With more peers it sends the digest to
+// some, which pass the generation on.
+const maxAnnounceAll = 64
+
+// maxPeersAsked is the maximum number of listed peers that are asked for the
+// document at a time.
+const maxPeersAsked = 16
+
+// handleRollout passes an event to the rollout machine and carries out the actions
+// that it returns.
+func (c *Control) handleRollout(e rollout.Event) {
 	actions := append([]rollout.Action(nil), c.rollout.Handle(e, time.Now())...)
 	for _, a := range actions {
-		c.rollAction(a)
+		c.doRolloutAction(a)
 	}
 }
 
-func (c *Control) rollAction(a rollout.Action) {
+func (c *Control) doRolloutAction(a rollout.Action) {
 	switch a := a.(type) {
 	case rollout.ReadStore:
 		c.spawn(c.readStore)
@@ -40,20 +43,22 @@
 	case rollout.AskAllPeers:
 		c.askAllPeers()
 	case rollout.Activate:
-		c.enforce(a)
+		c.activate(a)
 	case rollout.AnnounceGeneration:
-		c.push(a.All)
+		c.announce(a.All)
 	case rollout.RejectVersion:
 		c.cfg.Log.Error("version of the configuration refused", "generation", a.Generation, "source", a.Source, "reason", a.Reason)
 	case rollout.ResolveSave:
-		c.resolve(a)
+		c.resolveSave(a)
 	case rollout.WakeAt:
 		c.rolloutAt = a.At
 	}
 }
 
-// parse reads a stored value. One that is not newer than the version in force
-// is not read again: only its history matters then.
+// parse parses a stored value into a Version, with InvalidReason set if the
+// document is invalid. A value older than the version in force is not parsed, as
+// the rollout machine only needs its history; the value in force is not parsed
+// again.
 func (c *Control) parse(generation uint64, value []byte) rollout.Version {
 	v := rollout.Version{Generation: generation, Value: value}
 	current := c.current.Load()
@@ -73,7 +78,8 @@
 	return v
 }
 
-// readStore reads the object and hands the answer to the machine.
+// readStore reads the configuration object and passes the outcome to the rollout
+// machine.
 func (c *Control) readStore(ctx context.Context) {
 	obj, err := c.cfg.Store.Get(ctx, platformapi.KindConfig, platformapi.NameConfig)
 	var event rollout.Event = rollout.StoreFailed{}
@@ -84,18 +90,18 @@
 	case errors.As(err, &none):
 		event = rollout.StoreEmpty{}
 	}
-	c.post(ctx, func(time.Time) { c.roll(event) })
+	c.post(ctx, func(time.Time) { c.handleRollout(event) })
 }
 
-// putStore writes the object once and hands the answer to the machine, which
-// repeats the write if that is safe.
+// putStore writes the configuration object once and passes the outcome to the
+// rollout machine, which retries the write if that is safe.
 func (c *Control) putStore(ctx context.Context, a rollout.PutStore) {
 	generation, err := c.cfg.Store.Put(ctx, platformapi.KindConfig, platformapi.NameConfig, a.IfVersion, a.Value)
 	event := putEvent(a.ID, generation, err)
-	c.post(ctx, func(time.Time) { c.roll(event) })
+	c.post(ctx, func(time.Time) { c.handleRollout(event) })
 }
 
-// putEvent classes the answer to a conditional update.
+// putEvent converts the result of a conditional write to an event.
 func putEvent(id rollout.SaveID, generation uint64, err error) rollout.Event {
 	var conflict *platform.ConflictError
 	var unknown *platform.UnknownEffectError
@@ -110,19 +116,20 @@
 	return rollout.PutRefused{ID: id, Reason: err.Error(), RetryAfter: platform.RetryAfter(err)}
 }
 
-// enforce puts a version in force at this instance.
-func (c *Control) enforce(a rollout.Activate) {
+// activate puts a version in force at this instance.
+func (c *Control) activate(a rollout.Activate) {
 	v := a.Version
 	c.current.Store(&v)
 	c.cfg.Log.Info("configuration in force", "generation", v.Generation, "hash", v.Hash, "source", a.Source)
 	c.publish()
 }
 
-// push tells peers of the generation in force at once.
-func (c *Control) push(all bool) {
+// announce sends digests with the generation in force at once: to all peers if all
+// is set and there are at most maxAnnounceAll, else to some.
+func (c *Control) announce(all bool) {
 	peers := c.membership.Peers()
-	if !all || len(peers) > pushAll {
-		c.member(membership.PushNow{})
+	if !all || len(peers) > maxAnnounceAll {
+		c.handleMembership(membership.PushNow{})
 		return
 	}
 	for _, p := range peers {
@@ -130,37 +137,38 @@
 	}
 }
 
-// askPeer asks a peer for its document. One without a known address can't be
-// asked, but others may be.
+// askPeer asks a peer for its document. If the peer's address is not known, it asks
+// other peers instead.
 func (c *Control) askPeer(a rollout.AskPeer) {
 	for _, p := range c.membership.Peers() {
 		if p.Instance == a.Peer {
-			c.spawn(func(ctx context.Context) { c.fetch(ctx, targetOf(p)) })
+			c.spawn(func(ctx context.Context) { c.fetchDocument(ctx, targetOf(p)) })
 			return
 		}
 	}
 	c.askAllPeers()
 }
 
-// askAllPeers asks the listed peers, and those of the settings. In a large
-// fleet it asks some at random; the next search asks others.
+// askAllPeers asks up to maxPeersAsked listed peers, chosen at random each time, and
+// those of KnownPeers that are not among them, for the document.
 func (c *Control) askAllPeers() {
 	asked := make(map[string]bool)
 	peers := c.membership.Peers()
 	c.rnd.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
-	for _, p := range peers[:min(len(peers), maxAsked)] {
+	for _, p := range peers[:min(len(peers), maxPeersAsked)] {
 		asked[p.Address] = true
-		c.spawn(func(ctx context.Context) { c.fetch(ctx, targetOf(p)) })
+		c.spawn(func(ctx context.Context) { c.fetchDocument(ctx, targetOf(p)) })
 	}
 	for _, address := range c.cfg.KnownPeers {
 		if !asked[address] {
-			c.spawn(func(ctx context.Context) { c.fetch(ctx, peer.Target{Address: address}) })
+			c.spawn(func(ctx context.Context) { c.fetchDocument(ctx, peer.Target{Address: address}) })
 		}
 	}
 }
 
-// fetch asks one peer and hands the answer to the machine.
-func (c *Control) fetch(ctx context.Context, t peer.Target) {
+// fetchDocument asks one peer for a newer document and passes the outcome to the
+// rollout machine.
+func (c *Control) fetchDocument(ctx context.Context, t peer.Target) {
 	above := uint64(0)
 	if current := c.current.Load(); current != nil {
 		above = current.Generation
@@ -173,10 +181,10 @@
 		v := c.parse(doc.Generation, doc.TOML)
 		event = rollout.VersionSeen{Version: v, Source: rollout.SourcePeer, Peer: t.Instance}
 	}
-	c.post(ctx, func(time.Time) { c.roll(event) })
+	c.post(ctx, func(time.Time) { c.handleRollout(event) })
 }
 
-// targetOf is a peer's address for the client.
+// targetOf returns the target of calls to a peer.
 func targetOf(p membership.Peer) peer.Target {
 	return peer.Target{Instance: p.Instance, Address: p.Address}
 }
--- a/entry/control/shares.go
+++ b/entry/control/shares.go
@@ -8,67 +8,69 @@
 )
 
 const (
-	// blindShare is the connections to a leaf that an instance opens before it
-	// may grow: it can't know yet how many others share the leaf's limit.
-	blindShare = 1
-	// growAfter is how long the set of entries must have stood still before a
-	// share grows. Entries that start together learn of each other meanwhile.
-	growAfter = 3 * time.Second
+	// initialShare is the number of connections to a leaf that an instance may open
+	// at first, while it can't know how many others share the leaf's limit.
+	initialShare = 1
+	// growDelay is how long the set of entries must be unchanged before a share
+	// grows, so that entries that start together learn of each other first.
+	growDelay = 3 * time.Second
 )
 
-// shares holds back the growth of connection shares. A share shrinks at once;
-// it grows only when the set of entries has stood still for a while, since
-// those that have just come or gone are not known, or not gone, everywhere.
+// shares delays the growth of this instance's shares of the leaves' connection
+// limits. A share shrinks at once, but grows only when the set of entries has not
+// changed for growDelay: other entries may not know yet of one that joined, and one
+// that left may still hold its connections.
 type shares struct {
 	entries   []string
 	listKnown bool
-	changed   time.Time // when the set of entries last changed
+	changedAt time.Time // when the set of entries changed last
 	granted   map[string]int
-	held      bool // a share is held back
+	heldBack  bool // the growth of at least one share is delayed
 	now       time.Time
 }
 
 func newShares() shares { return shares{granted: make(map[string]int)} }
 
-// follow takes the set of entries as it is now, in order.
-func (s *shares) follow(entries []string, now time.Time) {
+// setEntries sets the current entries, in a fixed order.
+func (s *shares) setEntries(entries []string, now time.Time) {
 	if !slices.Equal(entries, s.entries) {
 		s.entries = slices.Clone(entries)
-		s.changed = now
+		s.changedAt = now
 	}
 }
 
-// begin starts a new computation of all shares.
-func (s *shares) begin(now time.Time) {
+// startRound starts a computation of all shares at time now.
+func (s *shares) startRound(now time.Time) {
 	s.now = now
-	s.held = false
+	s.heldBack = false
 }
 
-// grant gives the share of a leaf, of which so many connections are wanted.
-func (s *shares) grant(leaf string, want int) int {
+// limit returns the number of connections to a leaf that this instance may hold,
+// which is want unless growth to it is delayed.
+func (s *shares) limit(leaf string, want int) int {
 	have, ok := s.granted[leaf]
 	if !ok {
-		have = blindShare
+		have = initialShare
 	}
-	if want > have && (!s.listKnown || s.now.Sub(s.changed) < growAfter) {
-		s.held = true
+	if want > have && (!s.listKnown || s.now.Sub(s.changedAt) < growDelay) {
+		s.heldBack = true
 		want = have
 	}
 	s.granted[leaf] = want
 	return want
 }
 
-// growAt is when shares that are held back may grow; zero when none is, or
-// when that waits for the platform's list.
+// growAt returns when the delayed shares may grow. It is zero if none is delayed, or
+// if the platform's list of instances has not been read yet.
 func (s *shares) growAt() time.Time {
-	if !s.held || !s.listKnown {
+	if !s.heldBack || !s.listKnown {
 		return time.Time{}
 	}
-	return s.changed.Add(growAfter)
+	return s.changedAt.Add(growDelay)
 }
 
-// share is this instance's share of a leaf's connection limit.
+// share returns this instance's share of a leaf's connection limit.
 func (c *Control) share(u *document.Upstream, leafID string) int {
 	want := c.cfg.Placement.Share(leafID, u.ConnectionLimit, c.cfg.Instance, c.membership.Entries())
-	return c.shares.grant(leafID, want)
+	return c.shares.limit(leafID, want)
 }
--- a/entry/control/shares_test.go
+++ b/entry/control/shares_test.go
@@ -6,50 +6,51 @@
 	"time"
 )
 
-// TestBlindEntryHoldsOneConnection starts an entry that reads the document but
-// not the list of instances: it can't know how many share a leaf's limit.
-func TestBlindEntryHoldsOneConnection(t *testing.T) {
+// TestEntryWithoutInstanceListHoldsOneConnection starts an entry that reads the
+// document but not the list of instances, so that it can't know how many entries
+// share a leaf's limit.
+func TestEntryWithoutInstanceListHoldsOneConnection(t *testing.T) {
 	runFleet(t, 8, func(f *fleet) {
-		time.Sleep(settleTime)
-		generation := f.accept(f.entries[0], 2)
-		f.within(2*time.Second, generation)
-		blind := f.entries[7]
-		blind.stop()
-		blind.noList.Store(true)
-		blind.start(100)
-		f.within(5*time.Second, generation)
-		if got := blind.control.Load().View().Leaves[0].Connections; got != 1 {
+		time.Sleep(convergenceTime)
+		generation := f.mustSave(f.entries[0], 2)
+		f.waitInForce(2*time.Second, generation)
+		isolated := f.entries[7]
+		isolated.stop()
+		isolated.noList.Store(true)
+		isolated.start(100)
+		f.waitInForce(5*time.Second, generation)
+		if got := isolated.control.Load().View().Leaves[0].Connections; got != 1 {
 			t.Errorf("without the list: %d connections a leaf, want 1", got)
 		}
-		blind.noList.Store(false)
+		isolated.noList.Store(false)
 		time.Sleep(10 * time.Second)
-		if got := blind.control.Load().View().Leaves[0].Connections; got < 2 {
+		if got := isolated.control.Load().View().Leaves[0].Connections; got < 2 {
 			t.Errorf("with the list: %d connections a leaf, want its share", got)
 		}
 	})
 }
 
-// warnings counts the lines on peers.
-type warnings struct{ silent, answering atomic.Int64 }
+// peerLog is a Logger that counts the lines about peers.
+type peerLog struct{ silent, answering atomic.Int64 }
 
-func (w *warnings) Info(msg string, _ ...any) {
+func (l *peerLog) Info(msg string, _ ...any) {
 	if msg == "peer answers again" {
-		w.answering.Add(1)
+		l.answering.Add(1)
 	}
 }
 
-func (w *warnings) Warn(msg string, _ ...any) {
+func (l *peerLog) Warn(msg string, _ ...any) {
 	if msg == "peer does not answer" {
-		w.silent.Add(1)
+		l.silent.Add(1)
 	}
 }
 
-func (w *warnings) Error(string, ...any) {}
+func (l *peerLog) Error(string, ...any) {}
 
-// TestSilentPeersAreToldOnce cuts an entry off from its peers, as a wrong key
-// does, and lets it back.
-func TestSilentPeersAreToldOnce(t *testing.T) {
-	log := &warnings{}
+// TestUnresponsivePeersAreLoggedOnce disconnects an entry from its peers, as a
+// wrong peer key does, and reconnects it. Each peer is logged once per change.
+func TestUnresponsivePeersAreLoggedOnce(t *testing.T) {
+	log := &peerLog{}
 	runFleet(t, 3, func(f *fleet) {
 		cut := f.entries[2]
 		cut.stop()
