--- a/entry/lifecycle/lifecycle.go
+++ b/entry/lifecycle/lifecycle.go
@@ -1,5 +1,6 @@
-// Package lifecycle says how far an instance's life has come, and lets a
-// graceful stop wait until callers have gone elsewhere.
+// Package lifecycle holds the phase of an instance, from start to graceful stop.
+// It also counts arriving queries, so that a graceful stop can wait until the load
+// balancer sends no more.
 package lifecycle
 
 import (
@@ -8,35 +9,37 @@
 	"time"
 )
 
-// Phase is where an instance stands in its life.
+// Phase is a phase in the lifecycle of an instance.
 type Phase int32
 
-// The phases, in their order.
+// The phases, in the order in which an instance passes through them.
 const (
-	Starting Phase = iota // no configuration yet: not ready
+	Starting Phase = iota // has no configuration yet and is not ready
 	Serving
-	Leaving  // still serves, but tells everyone to send no more
+	Leaving  // not ready; still serves, but tells callers to give up their connections
 	Refusing // refuses new queries as not run; finishes those in flight
 )
 
-// Lifecycle holds the phase and counts arrivals. The zero value is Starting. It
-// is safe for concurrent use.
+// Lifecycle holds the phase of an instance and counts arriving queries. The zero
+// value is in phase Starting. It is safe for concurrent use.
 type Lifecycle struct {
 	phase    atomic.Int32
 	arrivals atomic.Int64
 }
 
-// Set moves to a phase.
+// Set sets the phase.
 func (l *Lifecycle) Set(p Phase) { l.phase.Store(int32(p)) }
 
-// Get is the present phase.
+// Get returns the current phase.
 func (l *Lifecycle) Get() Phase { return Phase(l.phase.Load()) }
 
-// MarkServing ends the start, if the instance is still starting.
+// MarkServing changes the phase from Starting to Serving. In any other phase it does
+// nothing.
 func (l *Lifecycle) MarkServing() { l.phase.CompareAndSwap(int32(Starting), int32(Serving)) }
 
-// NotReady says why the balancer should send no one, "" when it should. The word for
-// an instance that starts is the caller's: what it waits for.
+// NotReady returns the reason why the load balancer should send no queries, or "" if
+// the instance is ready. The parameter starting is the reason in phase Starting: what
+// the instance waits for.
 func (l *Lifecycle) NotReady(starting string) string {
 	switch l.Get() {
 	case Starting:
@@ -48,19 +51,21 @@
 	}
 }
 
-// Times of a graceful stop.
+// Times of WaitNoArrivals.
 const (
-	// quietTime without an arrival shows that the balancer has let go.
-	quietTime = 1 * time.Second
-	// quietPoll is how often arrivals are looked at.
-	quietPoll = 50 * time.Millisecond
+	// noArrivalsTime without an arriving query shows that the load balancer sends no
+	// more.
+	noArrivalsTime = 1 * time.Second
+	// arrivalsPollPeriod is the time between reads of the arrival count.
+	arrivalsPollPeriod = 50 * time.Millisecond
 )
 
-// WaitNoArrivals returns when no query has arrived for a second, or after most.
-func (l *Lifecycle) WaitNoArrivals(ctx context.Context, most time.Duration) {
-	ctx, cancel := context.WithTimeout(ctx, most)
+// WaitNoArrivals returns when no query has arrived for a second, after timeout, or
+// when ctx ends.
+func (l *Lifecycle) WaitNoArrivals(ctx context.Context, timeout time.Duration) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	tick := time.NewTicker(quietPoll)
+	tick := time.NewTicker(arrivalsPollPeriod)
 	defer tick.Stop()
 	seen, since := l.arrivals.Load(), time.Now()
 	for {
@@ -71,18 +76,19 @@
 			if n := l.arrivals.Load(); n != seen {
 				seen, since = n, now
 			}
-			if now.Sub(since) >= quietTime {
+			if now.Sub(since) >= noArrivalsTime {
 				return
 			}
 		}
 	}
 }
 
-// Arrived counts one query.
+// Arrived counts one arriving query.
 func (l *Lifecycle) Arrived() { l.arrivals.Add(1) }
 
-// Leaving says that connections should be given up by their callers.
+// Leaving reports whether callers should be told to give up their connections, in
+// phases Leaving and Refusing.
 func (l *Lifecycle) Leaving() bool { return l.Get() >= Leaving }
 
-// Refusing says that new queries must be refused as not run.
+// Refusing reports whether new queries must be refused as not run.
 func (l *Lifecycle) Refusing() bool { return l.Get() >= Refusing }
