--- a/entry/control/shares_test.go
+++ b/entry/control/shares_test.go
@@ -14,24 +14,24 @@
 		time.Sleep(convergenceTime)
 		generation := f.mustSave(f.entries[0], 2)
 		f.waitInForce(2*time.Second, generation)
-		isolated := f.entries[7]
-		isolated.stop()
-		isolated.noList.Store(true)
-		isolated.start(100)
+		withoutList := f.entries[7]
+		withoutList.stop()
+		withoutList.noList.Store(true)
+		withoutList.start(100)
 		f.waitInForce(5*time.Second, generation)
-		if got := isolated.control.Load().View().Leaves[0].Connections; got != 1 {
+		if got := withoutList.control.Load().View().Leaves[0].Connections; got != 1 {
 			t.Errorf("without the list: %d connections a leaf, want 1", got)
 		}
-		isolated.noList.Store(false)
+		withoutList.noList.Store(false)
 		time.Sleep(10 * time.Second)
-		if got := isolated.control.Load().View().Leaves[0].Connections; got < 2 {
+		if got := withoutList.control.Load().View().Leaves[0].Connections; got < 2 {
 			t.Errorf("with the list: %d connections a leaf, want its share", got)
 		}
 	})
 }
 
 // peerLog is a Logger that counts the lines about peers.
-type peerLog struct{ silent, answering atomic.Int64 }
+type peerLog struct{ unresponsive, answering atomic.Int64 }
 
 func (l *peerLog) Info(msg string, _ ...any) {
 	if msg == "peer answers again" {
@@ -41,7 +41,7 @@
 
 func (l *peerLog) Warn(msg string, _ ...any) {
 	if msg == "peer does not answer" {
-		l.silent.Add(1)
+		l.unresponsive.Add(1)
 	}
 }
 
@@ -59,7 +59,7 @@
 		time.Sleep(10 * time.Second)
 		cut.noPeers.Store(true)
 		time.Sleep(20 * time.Second)
-		if n := log.silent.Load(); n != 2 {
+		if n := log.unresponsive.Load(); n != 2 {
 			t.Errorf("%d lines on 2 silent peers", n)
 		}
 		cut.noPeers.Store(false)
--- a/entry/control/shares_unit_test.go
+++ b/entry/control/shares_unit_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// TestSharesShrinkAtOnceAndGrowDelayed changes the set of entries and checks the share after each change.
+// TestSharesShrinkAtOnceAndGrowDelayed changes the set of entries and checks the
+// share after each change.
 func TestSharesShrinkAtOnceAndGrowDelayed(t *testing.T) {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	s := newShares()
--- a/entry/ledger/ledger_test.go
+++ b/entry/ledger/ledger_test.go
@@ -55,8 +55,8 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := runFleet(t, seed, fleetCorrect)
-				for _, fault := range f.violations() {
-					t.Error(fault)
+				for _, violation := range f.violations() {
+					t.Error(violation)
 				}
 				t.Logf("%d keys ran, answers %v", len(f.leaf.byKey), f.answers)
 				if len(f.leaf.byKey) < 20 || f.answers["held"] < 20 || f.answers["not_run"] < 20 {
