--- a/entry/control/operators.go
+++ b/entry/control/operators.go
@@ -77,7 +77,7 @@
 	delete(c.waiters, a.ID)
 	select {
 	case waiter <- a.Outcome:
-	default: // no submitter waits for this outcome, which is only logged
+	default: // the submitter already has an answer; this one is only logged
 	}
 }
 
