--- a/entry/control/control_test.go
+++ b/entry/control/control_test.go
@@ -200,7 +200,7 @@
 		time.Sleep(convergenceTime)
 		f.waitInForce(2*time.Second, f.mustSave(f.entries[0], 2))
 		leaf := samples.CapBon(samples.CapBonBasePort).Upstreams[0].Shards[3].Leaves[1].ID
-		f.entries[5].control.Load().ObserveLeaving(leaf, 0)
+		f.entries[5].control.Load().ObserveDraining(leaf, 0)
 		time.Sleep(3 * time.Second)
 		for _, e := range f.entries {
 			for _, l := range e.control.Load().View().Leaves {
--- a/entry/control/digest_bench_test.go
+++ b/entry/control/digest_bench_test.go
@@ -72,7 +72,7 @@
 	}
 	time.Sleep(5 * time.Second)
 	for i := range marks {
-		first.ObserveLeaving(fmt.Sprintf("upstream-name-%d-0", i), 0)
+		first.ObserveDraining(fmt.Sprintf("upstream-name-%d-0", i), 0)
 	}
 	time.Sleep(12 * time.Second) // until the marks are no longer sent as fresh
 	bytes.Store(0)
--- a/entry/control/membership.go
+++ b/entry/control/membership.go
@@ -184,11 +184,11 @@
 	return &peerapi.Document{Generation: v.Generation, Hash: v.Hash, TOML: v.Value}
 }
 
-// ObserveLeaving records that a reply of a leaf carried the leaf's drain mark, with
+// ObserveDraining records that a reply of a leaf carried the leaf's drain mark, with
 // the time at which the leaf started in Unix milliseconds. It does not wait: if the
 // queue is full, the observation is dropped, and the leaf's next reply repeats it.
 // Any goroutine may call it.
-func (c *Control) ObserveLeaving(leafID string, startedAtMS int64) {
+func (c *Control) ObserveDraining(leafID string, startedAtMS int64) {
 	c.postObservation(membership.LeavingObserved{Leaf: leafID, StartedAtMS: startedAtMS})
 }
 
@@ -209,10 +209,10 @@
 	}
 }
 
-// PushDigests sends digests to some peers at once, to spread a change of the
+// GossipNow sends digests to some peers at once, to spread a change of the
 // quarantine. It does not wait: if the inbox is full, the request is dropped, as the
 // next round of digests carries the change in any case. Any goroutine may call it.
-func (c *Control) PushDigests() {
+func (c *Control) GossipNow() {
 	select {
 	case c.inbox <- func(time.Time) { c.handleMembership(membership.PushNow{}) }:
 	default:
--- a/entry/executor/exchange.go
+++ b/entry/executor/exchange.go
@@ -156,7 +156,7 @@
 		e.config.LeafObserver.ObserveStart(leafID, said.Born)
 	}
 	if said.Draining {
-		e.config.LeafObserver.ObserveLeaving(leafID, said.Born)
+		e.config.LeafObserver.ObserveDraining(leafID, said.Born)
 	}
 }
 
--- a/entry/executor/executor.go
+++ b/entry/executor/executor.go
@@ -28,10 +28,10 @@
 // LeafObserver takes what replies show of leaves: a drain mark, and a start that was not
 // known. A birth of 0 is not known. It must not block.
 type LeafObserver interface {
-	ObserveLeaving(leafID string, born int64)
+	ObserveDraining(leafID string, born int64)
 	ObserveStart(leafID string, born int64)
-	// PushDigests asks to tell the peers at once what the quarantine learnt.
-	PushDigests()
+	// GossipNow asks to tell the peers at once what the quarantine learnt.
+	GossipNow()
 }
 
 // Request is one caller's checked request.
--- a/entry/executor/executor_test.go
+++ b/entry/executor/executor_test.go
@@ -99,9 +99,9 @@
 // noObserver drops what replies show.
 type noObserver struct{}
 
-func (noObserver) ObserveLeaving(string, int64) {}
+func (noObserver) ObserveDraining(string, int64) {}
 func (noObserver) ObserveStart(string, int64)   {}
-func (noObserver) PushDigests()                 {}
+func (noObserver) GossipNow()                 {}
 
 // noLedger refuses every claim.
 type noLedger struct{}
--- a/entry/executor/quarantine.go
+++ b/entry/executor/quarantine.go
@@ -150,7 +150,7 @@
 	for _, action := range actions {
 		switch action := action.(type) {
 		case quarantine.Announce:
-			e.config.LeafObserver.PushDigests()
+			e.config.LeafObserver.GossipNow()
 		case quarantine.PhaseChanged:
 			e.tellRuns(action)
 		}
--- a/entry/hosted/control.go
+++ b/entry/hosted/control.go
@@ -298,12 +298,12 @@
 // resized says that the fleet's size has changed.
 func (c *control) resized() { c.offer(fleetResized{}) }
 
-// ObserveLeaving implements executor.LeafObserver. Leaves are known by their incarnations here.
-func (c *control) ObserveLeaving(leafID string, _ int64) { c.leafGone(leafID) }
+// ObserveDraining implements executor.LeafObserver. Leaves are known by their incarnations here.
+func (c *control) ObserveDraining(leafID string, _ int64) { c.leafGone(leafID) }
 
 // ObserveStart implements executor.LeafObserver. Births come from the store here.
 func (c *control) ObserveStart(string, int64) {}
 
-// PushDigests implements executor.LeafObserver. Instances here do not tell each other
+// GossipNow implements executor.LeafObserver. Instances here do not tell each other
 // of quarantines.
-func (c *control) PushDigests() {}
+func (c *control) GossipNow() {}
