--- a/entry/console/control_test.go
+++ b/entry/console/control_test.go
@@ -147,17 +147,17 @@
 // effect, after it and with a late effect, and saves again when the outcome is
 // unknown. An open watch tells of an effect even while reads fail.
 func TestLostReplyOverTheRealControl(t *testing.T) {
-	late := platformtest.Faults{LoseLate: 1, LateBy: 20 * time.Second}
+	late := platformtest.Faults{DelayEffects: 1, EffectDelay: 20 * time.Second}
 	for name, tc := range map[string]struct {
 		faults platformtest.Faults
 		pause  time.Duration // before the form is sent again
 		status int
 		words  string // when it is sent again
 	}{
-		"after":                {platformtest.Faults{LoseAfter: 1}, 0, http.StatusSeeOther, ""},
-		"after, reads fail":    {platformtest.Faults{LoseAfter: 1, FailReads: 1}, 0, http.StatusSeeOther, ""},
-		"before":               {platformtest.Faults{LoseBefore: 1}, time.Second, http.StatusGatewayTimeout, ""},
-		"before, reads fail":   {platformtest.Faults{LoseBefore: 1, FailReads: 1}, time.Second, http.StatusGatewayTimeout, ""},
+		"after":                {platformtest.Faults{LoseReplies: 1}, 0, http.StatusSeeOther, ""},
+		"after, reads fail":    {platformtest.Faults{LoseReplies: 1, FailReads: 1}, 0, http.StatusSeeOther, ""},
+		"before":               {platformtest.Faults{LoseRequests: 1}, time.Second, http.StatusGatewayTimeout, ""},
+		"before, reads fail":   {platformtest.Faults{LoseRequests: 1, FailReads: 1}, time.Second, http.StatusGatewayTimeout, ""},
 		"late, again at once":  {late, 0, http.StatusGatewayTimeout, ""},
 		"late, again after it": {late, time.Minute, http.StatusGatewayTimeout, "says the same"},
 	} {
--- a/entry/control/control.go
+++ b/entry/control/control.go
@@ -170,7 +170,7 @@
 	cfg := platform.FollowConfig{
 		Kind: platformapi.KindConfig,
 		Rand: rand.New(rand.NewPCG(c.cfg.Seed, 2)),
-		Failed: func(err error, retryIn time.Duration) {
+		OnError: func(err error, retryIn time.Duration) {
 			c.cfg.Log.Warn("watch of the configuration failed", "err", err, "retry_in", retryIn)
 			c.post(ctx, func(now time.Time) { c.watched(false, now) })
 		},
--- a/entry/control/control_test.go
+++ b/entry/control/control_test.go
@@ -118,7 +118,7 @@
 		for round := range 10 {
 			f.store.SetFaults(platformtest.Faults{
 				Latency: 5 * time.Millisecond, Jitter: 20 * time.Millisecond, StaleReads: 0.3,
-				LoseBefore: 0.15, LoseAfter: 0.15, LoseLate: 0.15, LateBy: 300 * time.Millisecond,
+				LoseRequests: 0.15, LoseReplies: 0.15, DelayEffects: 0.15, EffectDelay: 300 * time.Millisecond,
 			})
 			results := make(chan operators.SaveResult)
 			for i := range 10 {
@@ -155,7 +155,7 @@
 	runFleet(t, 2, func(f *fleet) {
 		time.Sleep(settleTime)
 		f.accept(f.entries[0], 2)
-		f.store.SetFaults(platformtest.Faults{LoseAfter: 1, FailReads: 1})
+		f.store.SetFaults(platformtest.Faults{LoseReplies: 1, FailReads: 1})
 		f.entries[0].noWatch.Store(true)
 		f.entries[1].noStore.Store(true)
 		if r := f.entries[0].save(3); r.State != operators.Unknown {
--- a/entry/ledger/ledger_test.go
+++ b/entry/ledger/ledger_test.go
@@ -22,7 +22,7 @@
 	troubled := platformtest.Faults{
 		Latency: 2 * time.Millisecond, Jitter: 20 * time.Millisecond,
 		FailReads: 0.05, StaleReads: 0.05,
-		LoseBefore: 0.05, LoseAfter: 0.05, LoseLate: 0.05, LateBy: 400 * time.Millisecond,
+		LoseRequests: 0.05, LoseReplies: 0.05, DelayEffects: 0.05, EffectDelay: 400 * time.Millisecond,
 	}
 	f.store.SetFaults(troubled)
 	var callers sync.WaitGroup
@@ -45,7 +45,7 @@
 		}
 	}
 	callers.Wait()
-	time.Sleep(troubled.LateBy)
+	time.Sleep(troubled.EffectDelay)
 	return f
 }
 
@@ -131,7 +131,7 @@
 		store := platformtest.New(1)
 		e := startEntry(t, store, 1, nil)
 		<-e.Ready()
-		store.SetFaults(platformtest.Faults{LoseAfter: 1})
+		store.SetFaults(platformtest.Faults{LoseReplies: 1})
 		mustClaim(t, e, "k")
 	})
 }
@@ -141,7 +141,7 @@
 func TestAbandonedClaimIsReleased(t *testing.T) {
 	for name, faults := range map[string]platformtest.Faults{
 		"slow store": {Latency: 100 * time.Millisecond},
-		"late write": {Latency: 100 * time.Millisecond, LoseLate: 1, LateBy: 200 * time.Millisecond},
+		"late write": {Latency: 100 * time.Millisecond, DelayEffects: 1, EffectDelay: 200 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -155,7 +155,7 @@
 				if _, err := a.Claim(ctx, request("k", time.Second)); err == nil {
 					t.Fatal("claim was granted to a caller that had gone")
 				}
-				time.Sleep(faults.LateBy)
+				time.Sleep(faults.EffectDelay)
 				store.SetFaults(platformtest.Faults{})
 				time.Sleep(time.Second)
 				mustClaim(t, b, "k")
@@ -229,7 +229,7 @@
 	for name, faults := range map[string]platformtest.Faults{
 		"down":          {Down: true},
 		"hangs":         {Hang: true},
-		"loses replies": {LoseBefore: 1, FailReads: 1},
+		"loses replies": {LoseRequests: 1, FailReads: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -275,7 +275,7 @@
 		most   int
 	}{
 		"down":           {platformtest.Faults{Down: true}, 30},
-		"takes no write": {platformtest.Faults{LoseBefore: 1}, 200},
+		"takes no write": {platformtest.Faults{LoseRequests: 1}, 200},
 	} {
 		t.Run(name, func(t *testing.T) { outageCost(t, test.faults, test.most) })
 	}
--- a/entry/platform/follow.go
+++ b/entry/platform/follow.go
@@ -12,9 +12,9 @@
 
 // Defaults of FollowConfig.
 const (
-	DefaultWatchWait  = 30 * time.Second
-	DefaultFirstRetry = 100 * time.Millisecond
-	DefaultRetryCap   = 5 * time.Second
+	DefaultWatchWait = 30 * time.Second
+	DefaultRetryMin  = 100 * time.Millisecond
+	DefaultRetryMax  = 5 * time.Second
 )
 
 // Source is the part of the object API that Follow needs.
@@ -32,8 +32,8 @@
 	RetryMin, RetryMax time.Duration
 	// Rand spreads retries; nil draws a seed.
 	Rand *rand.Rand
-	// Failed is called for each failed call and the delay before the next one.
-	Failed func(err error, retryIn time.Duration)
+	// OnError is called for each failed call and the delay before the next one.
+	OnError func(err error, retryIn time.Duration)
 }
 
 // Update is what Follow tells of a kind.
@@ -88,16 +88,16 @@
 		c.Wait = DefaultWatchWait
 	}
 	if c.RetryMin <= 0 {
-		c.RetryMin = DefaultFirstRetry
+		c.RetryMin = DefaultRetryMin
 	}
 	if c.RetryMax < c.RetryMin {
-		c.RetryMax = max(c.RetryMin, DefaultRetryCap)
+		c.RetryMax = max(c.RetryMin, DefaultRetryMax)
 	}
 	if c.Rand == nil {
 		c.Rand = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	}
-	if c.Failed == nil {
-		c.Failed = func(error, time.Duration) {}
+	if c.OnError == nil {
+		c.OnError = func(error, time.Duration) {}
 	}
 	return c
 }
@@ -136,7 +136,7 @@
 		f.listed = false
 	}
 	delay := max(f.backoff.Next(f.cfg.Rand), min(RetryAfter(err), f.cfg.RetryMax))
-	f.cfg.Failed(err, delay)
+	f.cfg.OnError(err, delay)
 	f.sleep(ctx, delay)
 }
 
--- a/entry/platform/follow_test.go
+++ b/entry/platform/follow_test.go
@@ -119,7 +119,7 @@
 		}
 		wait.Wait()
 		slices.Sort(at)
-		if last := at[instances-1]; last > platform.DefaultRetryCap {
+		if last := at[instances-1]; last > platform.DefaultRetryMax {
 			t.Errorf("the last came back after %v", last)
 		}
 		if spread := at[instances-1] - at[0]; spread < time.Second {
--- a/entry/platform/platformtest/store.go
+++ b/entry/platform/platformtest/store.go
@@ -15,8 +15,8 @@
 	"github.com/fuchsiaroad/fuchsiaroad/entry/platform"
 )
 
-// ErrFault is the cause of every failure that the store makes up.
-var ErrFault = errors.New("fault of the test store")
+// ErrInjected is the cause of every failure that the store makes up.
+var ErrInjected = errors.New("fault of the test store")
 
 // Faults are what goes wrong. Shares are in [0, 1].
 type Faults struct {
@@ -30,10 +30,10 @@
 	FailReads float64
 	// StaleReads is the share of reads that show an earlier state.
 	StaleReads float64
-	// LoseBefore, LoseAfter and LoseLate are the shares of writes whose reply
-	// is lost: before an effect, after it, and with an effect LateBy later.
-	LoseBefore, LoseAfter, LoseLate float64
-	LateBy                          time.Duration
+	// LoseRequests, LoseReplies and DelayEffects are the shares of writes whose reply
+	// is lost: before an effect, after it, and with an effect EffectDelay later.
+	LoseRequests, LoseReplies, DelayEffects float64
+	EffectDelay                             time.Duration
 	// WriteRate is the most writes a second, more get RateLimitedError; 0 is
 	// no limit. Up to a tenth of a second's writes may come at once.
 	WriteRate float64
@@ -125,13 +125,13 @@
 func (s *Store) read(ctx context.Context, c platform.Call) (draws, error) {
 	d := s.begin(c)
 	if d.faults.Down {
-		return d, &platform.UnavailableError{Call: c, Err: ErrFault}
+		return d, &platform.UnavailableError{Call: c, Err: ErrInjected}
 	}
 	if !d.delay(ctx) {
 		return d, &platform.UnavailableError{Call: c, Err: ctx.Err()}
 	}
 	if d.share < d.faults.FailReads {
-		return d, &platform.UnavailableError{Call: c, Err: ErrFault}
+		return d, &platform.UnavailableError{Call: c, Err: ErrInjected}
 	}
 	return d, nil
 }
@@ -215,7 +215,7 @@
 	d := s.begin(platform.CallPut)
 	f := d.faults
 	if f.Down {
-		return 0, &platform.UnavailableError{Call: platform.CallPut, Err: ErrFault}
+		return 0, &platform.UnavailableError{Call: platform.CallPut, Err: ErrInjected}
 	}
 	if !s.allowWrite() {
 		return 0, &platform.RateLimitedError{Call: platform.CallPut}
@@ -223,15 +223,15 @@
 	if !d.delay(ctx) {
 		return 0, &platform.UnknownEffectError{Call: platform.CallPut, Err: ctx.Err()}
 	}
-	lost := &platform.UnknownEffectError{Call: platform.CallPut, Err: ErrFault}
+	lost := &platform.UnknownEffectError{Call: platform.CallPut, Err: ErrInjected}
 	switch {
-	case d.share < f.LoseBefore:
+	case d.share < f.LoseRequests:
 		return 0, lost
-	case d.share < f.LoseBefore+f.LoseAfter:
+	case d.share < f.LoseRequests+f.LoseReplies:
 		_, _ = s.apply(kind, name, ifVersion, value)
 		return 0, lost
-	case d.share < f.LoseBefore+f.LoseAfter+f.LoseLate:
-		time.AfterFunc(f.LateBy, func() { _, _ = s.apply(kind, name, ifVersion, value) })
+	case d.share < f.LoseRequests+f.LoseReplies+f.DelayEffects:
+		time.AfterFunc(f.EffectDelay, func() { _, _ = s.apply(kind, name, ifVersion, value) })
 		return 0, lost
 	}
 	return s.apply(kind, name, ifVersion, value)
