--- a/entry/platform/client.go
+++ b/entry/platform/client.go
@@ -16,7 +16,7 @@
 	"github.com/fuchsiaroad/fuchsiaroad/api/platformapi"
 )
 
-// HeaderInstance names the calling instance.
+// HeaderInstance is the HTTP header that carries the id of the calling instance.
 const HeaderInstance = "Fuchsiaroad-Instance"
 
 // Defaults of Config.
@@ -25,17 +25,18 @@
 	DefaultConcurrency = 16
 )
 
-// maxReply bounds a reply: base64 makes a value a third larger, and a list
-// holds many objects.
-const maxReply = 64 << 20
+// maxReplyBytes bounds the body of a reply: base64 makes a value a third larger,
+// and a list holds many objects.
+const maxReplyBytes = 64 << 20
 
-// watchGrace is how long a watch may take beyond the wait it asked for.
+// watchGrace is how long a watch may take beyond its requested wait.
 const watchGrace = 2 * time.Second
 
-// errNoVersion marks a reply to a write that names no version.
-var errNoVersion = errors.New("reply names no version")
+// errNoVersion is the cause of an UnknownEffectError for a write whose reply has
+// no version.
+var errNoVersion = errors.New("reply has no version")
 
-// Config says how to reach the platform.
+// Config configures a Client.
 type Config struct {
 	// URL is the platform's base address, for example http://10.0.0.1:7000.
 	URL string
@@ -45,15 +46,16 @@
 	Instance string
 	// Timeout bounds each call except a watch; 0 means DefaultTimeout.
 	Timeout time.Duration
-	// Concurrency bounds calls at once, watches apart; 0 means DefaultConcurrency.
+	// Concurrency bounds the concurrent calls, not counting watches; 0 means
+	// DefaultConcurrency.
 	Concurrency int
-	// Meter counts calls; nil counts nothing.
+	// Meter counts calls; nil disables counting.
 	Meter Meter
 	// Transport replaces the HTTP transport, for tests.
 	Transport http.RoundTripper
 }
 
-// Client calls the platform. Its methods may be called by many goroutines.
+// Client calls the platform. It is safe for concurrent use.
 type Client struct {
 	cfg   Config
 	http  *http.Client
@@ -95,7 +97,8 @@
 	}, nil
 }
 
-// newTransport keeps as many idle connections as there are calls at once.
+// newTransport returns a transport that keeps an idle connection for each of the
+// concurrent calls.
 func newTransport(cfg Config) *http.Transport {
 	dialer := &net.Dialer{Timeout: cfg.Timeout}
 	return &http.Transport{
@@ -105,7 +108,7 @@
 	}
 }
 
-// Close lets idle connections go.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
 // Get reads an object.
@@ -115,8 +118,8 @@
 	return obj, err
 }
 
-// Put writes an object if it stands at version ifVersion, 0 meaning absent,
-// and returns the new version.
+// Put writes an object if its version is ifVersion, where 0 means absent, and
+// returns the new version.
 func (c *Client) Put(ctx context.Context, kind, name string, ifVersion uint64, value []byte) (uint64, error) {
 	if len(value) > platformapi.MaxValue {
 		return 0, &RejectedError{Call: CallPut, Status: http.StatusRequestEntityTooLarge, Detail: "value is larger than the platform takes"}
@@ -136,7 +139,7 @@
 	return obj.Version, err
 }
 
-// Delete removes an object if it stands at version ifVersion.
+// Delete removes an object if its version is ifVersion.
 func (c *Client) Delete(ctx context.Context, kind, name string, ifVersion uint64) error {
 	return c.Do(ctx, Request{
 		Call: CallDelete, Method: http.MethodDelete, Path: objectPath(kind, name) + ifVersionQuery(ifVersion),
@@ -152,8 +155,8 @@
 	return list, err
 }
 
-// Watch waits for changes of a kind after revision since, at most wait. It
-// returns no events when the wait passed, and GoneError when since is too old.
+// Watch waits at most wait for changes of a kind after revision since. It returns
+// no events when wait has passed, and a GoneError when since is too old.
 func (c *Client) Watch(ctx context.Context, kind string, since uint64, wait time.Duration) (platformapi.Events, error) {
 	var events platformapi.Events
 	query := url.Values{"since": {strconv.FormatUint(since, 10)}, "wait_ms": {strconv.FormatInt(wait.Milliseconds(), 10)}}
@@ -162,49 +165,50 @@
 	return events, err
 }
 
-// Instances reads the list of live and leaving instances; it lags.
+// Instances reads the list of live and leaving instances, which may be out of date.
 func (c *Client) Instances(ctx context.Context) ([]platformapi.Instance, error) {
 	var list platformapi.Instances
 	err := c.Do(ctx, Request{Call: CallInstances, Method: http.MethodGet, Path: platformapi.PathInstances}, &list)
 	return list.Instances, err
 }
 
-// objectPath is the path of one object.
+// objectPath returns the URL path of an object.
 func objectPath(kind, name string) string {
 	return platformapi.PathObjects + "/" + url.PathEscape(kind) + "/" + url.PathEscape(name)
 }
 
-// ifVersionQuery states the version that a write depends on.
+// ifVersionQuery returns the URL query that makes a write conditional on a version.
 func ifVersionQuery(version uint64) string {
 	return "?if_version=" + strconv.FormatUint(version, 10)
 }
 
-// Request is one call, whose path and body are in the words of the store's own
-// protocol.
+// Request is one call to the platform. Path and Body follow the protocol of the
+// store that serves it, which need not be that of package platformapi.
 type Request struct {
 	Call         Call
 	Method, Path string
-	// Kind and Name are those of the object, for errors.
+	// Kind and Name identify the object in errors.
 	Kind, Name string
 	Body       []byte
-	// Write says that the call may change an object.
+	// Write reports whether the call may change an object.
 	Write bool
-	// Since and Wait are those of a watch.
+	// Since and Wait are set for a watch only.
 	Since uint64
 	Wait  time.Duration
 }
 
-// Do makes the call, reads its JSON reply into a value, which may be nil, and
-// counts it. A *[]byte gets the reply as it came. Errors are those of this package.
-func (c *Client) Do(ctx context.Context, r Request, into any) error {
-	begin := time.Now()
-	err := c.call(ctx, r, into)
-	c.cfg.Meter.PlatformCall(r.Call, resultOf(err), time.Since(begin))
+// Do makes the call, decodes its JSON reply into dst and counts it. A nil dst
+// discards the reply; a *[]byte receives it undecoded. Errors are of the types of
+// this package.
+func (c *Client) Do(ctx context.Context, r Request, dst any) error {
+	start := time.Now()
+	err := c.call(ctx, r, dst)
+	c.cfg.Meter.PlatformCall(r.Call, classifyResult(err), time.Since(start))
 	return err
 }
 
-// call waits for a slot, sends the request and reads the reply.
-func (c *Client) call(ctx context.Context, r Request, into any) error {
+// call waits for a concurrency slot, sends the request and decodes the reply.
+func (c *Client) call(ctx context.Context, r Request, dst any) error {
 	timeout := c.cfg.Timeout
 	if r.Call == CallWatch {
 		timeout = r.Wait + watchGrace
@@ -225,14 +229,14 @@
 	})
 	resp, err := c.send(ctx, r)
 	if err != nil {
-		return lost(r, connected.Load(), 0, err)
+		return unusableReplyError(r, connected.Load(), 0, err)
 	}
 	defer resp.Body.Close()
-	return finish(r, resp, into)
+	return decodeReply(r, resp, dst)
 }
 
-// resultOf classes an error for the meter.
-func resultOf(err error) Result {
+// classifyResult returns the result that the meter counts for an error.
+func classifyResult(err error) Result {
 	var conflict *ConflictError
 	var notFound *NotFoundError
 	var gone *GoneError
--- a/entry/platform/client_test.go
+++ b/entry/platform/client_test.go
@@ -22,30 +22,30 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// counter is a Meter that keeps its counts.
-type counter struct {
+// countingMeter is a Meter that counts calls by type and result.
+type countingMeter struct {
 	mu    sync.Mutex
 	calls map[string]int
 }
 
-func (c *counter) PlatformCall(call Call, result Result, _ time.Duration) {
+func (c *countingMeter) PlatformCall(call Call, result Result, _ time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.calls[fmt.Sprintf("%s %s", call, result)]++
 }
 
-// serve runs a handler and a client for it.
-func serve(t *testing.T, handler http.HandlerFunc) (*Client, *counter) {
+// startServer starts a server with the handler and returns a client for it.
+func startServer(t *testing.T, handler http.HandlerFunc) (*Client, *countingMeter) {
 	t.Helper()
 	srv := httptest.NewServer(handler)
 	t.Cleanup(srv.Close)
-	return connect(t, srv.URL)
+	return newClient(t, srv.URL)
 }
 
-// connect makes a client for an address.
-func connect(t *testing.T, url string) (*Client, *counter) {
+// newClient returns a client for the URL.
+func newClient(t *testing.T, url string) (*Client, *countingMeter) {
 	t.Helper()
-	meter := &counter{calls: make(map[string]int)}
+	meter := &countingMeter{calls: make(map[string]int)}
 	c, err := New(Config{URL: url, Token: "secret", Instance: "entry-1", Meter: meter})
 	if err != nil {
 		t.Fatal(err)
@@ -54,17 +54,17 @@
 	return c, meter
 }
 
-// reply answers with a status and a body.
-func reply(status int, body any) http.HandlerFunc {
+// replyWith returns a handler that replies with a status and a JSON body.
+func replyWith(status int, body any) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(status)
 		_ = json.NewEncoder(w).Encode(body)
 	}
 }
 
-func TestCallsNameObjectVersionAndInstance(t *testing.T) {
+func TestRequestsCarryPathVersionAndInstance(t *testing.T) {
 	var seen []string
-	c, meter := serve(t, func(w http.ResponseWriter, r *http.Request) {
+	c, meter := startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		seen = append(seen, r.Method+" "+r.URL.String()+" "+string(body))
 		if r.Header.Get(HeaderInstance) != "entry-1" || r.Header.Get("Authorization") != "Bearer secret" {
@@ -114,9 +114,9 @@
 	}
 }
 
-// Each answer of the store becomes the error that says what is known of the
-// call's effect.
-func TestAnswersBecomeErrors(t *testing.T) {
+// A reply without success is converted to the error that says whether the call may
+// have taken effect.
+func TestRepliesMapToErrors(t *testing.T) {
 	for name, test := range map[string]struct {
 		status   int
 		body     any
@@ -134,7 +134,7 @@
 		"no conflict": {409, "x", &UnavailableError{}, &UnknownEffectError{}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c, _ := serve(t, reply(test.status, test.body))
+			c, _ := startServer(t, replyWith(test.status, test.body))
 			_, err := c.Get(t.Context(), "k", "n")
 			if reflect.TypeOf(err) != reflect.TypeOf(test.get) {
 				t.Errorf("get: %T %v, want %T", err, err, test.get)
@@ -151,8 +151,8 @@
 	}
 }
 
-func TestWatchOfAnOldRevisionIsGone(t *testing.T) {
-	c, _ := serve(t, reply(http.StatusGone, ""))
+func TestWatchOfOldRevisionReturnsGoneError(t *testing.T) {
+	c, _ := startServer(t, replyWith(http.StatusGone, ""))
 	_, err := c.Watch(t.Context(), "k", 3, 0)
 	var gone *GoneError
 	if !errors.As(err, &gone) || gone.Since != 3 {
@@ -160,11 +160,11 @@
 	}
 }
 
-func TestRetryAfterIsKept(t *testing.T) {
+func TestErrorKeepsRetryAfter(t *testing.T) {
 	for header, want := range map[string]time.Duration{
 		"2": 2 * time.Second, "0.25": 250 * time.Millisecond, "": 0, "soon": 0, "-1": 0, "NaN": 0, "1e99": 0,
 	} {
-		c, _ := serve(t, func(w http.ResponseWriter, _ *http.Request) {
+		c, _ := startServer(t, func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Retry-After", header)
 			w.WriteHeader(http.StatusServiceUnavailable)
 		})
@@ -175,53 +175,54 @@
 	}
 }
 
-// A write that could not reach the store had no effect; one whose connection
-// broke, or whose reply was cut off or late, may have had one.
-func TestLostWrites(t *testing.T) {
+// A write that couldn't reach the store had no effect. One whose connection broke,
+// whose reply was truncated or whose context ended may have had one.
+func TestFailedWriteReportsKnownOrUnknownEffect(t *testing.T) {
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	address := "http://" + closed.Addr().String()
 	_ = closed.Close()
-	c, meter := connect(t, address)
+	c, meter := newClient(t, address)
 	_, err = c.Put(t.Context(), "k", "n", 0, nil)
 	var unavailable *UnavailableError
 	if !errors.As(err, &unavailable) || meter.calls["put unavailable"] != 1 {
 		t.Errorf("no listener: got %T %v, counts %v", err, err, meter.calls)
 	}
 	var unknown *UnknownEffectError
-	c, _ = serve(t, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
+	c, _ = startServer(t, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
 	if _, err = c.Put(t.Context(), "k", "n", 0, nil); !errors.As(err, &unknown) {
 		t.Errorf("broken connection: got %T %v", err, err)
 	}
-	c, _ = serve(t, func(w http.ResponseWriter, _ *http.Request) {
+	c, _ = startServer(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "100")
 		_, _ = w.Write([]byte(`{"version":`))
 	})
 	if _, err = c.Put(t.Context(), "k", "n", 0, nil); !errors.As(err, &unknown) {
-		t.Errorf("reply cut off: got %T %v", err, err)
+		t.Errorf("reply truncated: got %T %v", err, err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	c, _ = serve(t, func(_ http.ResponseWriter, r *http.Request) {
+	c, _ = startServer(t, func(_ http.ResponseWriter, r *http.Request) {
 		cancel()
 		_, _ = io.Copy(io.Discard, r.Body)
 		<-r.Context().Done()
 	})
 	if _, err = c.Put(ctx, "k", "n", 0, nil); !errors.As(err, &unknown) {
-		t.Errorf("given up: got %T %v", err, err)
+		t.Errorf("canceled after it was sent: got %T %v", err, err)
 	}
 	if _, err = c.Put(ctx, "k", "n", 0, nil); !errors.As(err, &unavailable) {
-		t.Errorf("given up before it was sent: got %T %v", err, err)
+		t.Errorf("canceled before it was sent: got %T %v", err, err)
 	}
 }
 
-// A write is sent once: repeating it is the caller's decision.
-func TestWritesAreSentOnce(t *testing.T) {
+// Neither the client nor the HTTP transport retries a write; a retry is the
+// caller's decision.
+func TestWriteIsNotRetried(t *testing.T) {
 	var mu sync.Mutex
 	puts := 0
-	c, _ := serve(t, func(w http.ResponseWriter, r *http.Request) {
+	c, _ := startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodPut {
 			mu.Lock()
 			puts++
@@ -241,26 +242,26 @@
 	}
 }
 
-// No more calls than the bound are under way; watches are not held up by it.
+// Config.Concurrency bounds the concurrent calls; a watch neither counts nor waits.
 func TestConcurrencyIsBounded(t *testing.T) {
 	const bound = 2
 	var mu sync.Mutex
-	now, most := 0, 0
-	enter := make(chan struct{}, 100)
-	leave := make(chan struct{})
+	active, peak := 0, 0
+	started := make(chan struct{}, 100)
+	release := make(chan struct{})
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if strings.HasPrefix(r.URL.Path, platformapi.PathWatch) {
 			_, _ = w.Write([]byte("{}"))
 			return
 		}
 		mu.Lock()
-		now++
-		most = max(most, now)
+		active++
+		peak = max(peak, active)
 		mu.Unlock()
-		enter <- struct{}{}
-		<-leave
+		started <- struct{}{}
+		<-release
 		mu.Lock()
-		now--
+		active--
 		mu.Unlock()
 		_, _ = w.Write([]byte("{}"))
 	}))
@@ -279,19 +280,19 @@
 		})
 	}
 	for range bound {
-		<-enter
+		<-started
 	}
 	if _, err := c.Watch(t.Context(), "k", 0, 0); err != nil {
-		t.Errorf("watch while calls are held: %v", err)
+		t.Errorf("watch while calls are blocked: %v", err)
 	}
-	close(leave)
+	close(release)
 	calls.Wait()
-	if most != bound {
-		t.Fatalf("%d calls at once, want %d", most, bound)
+	if peak != bound {
+		t.Fatalf("%d concurrent calls, want %d", peak, bound)
 	}
 }
 
-func TestConfigNamesItsField(t *testing.T) {
+func TestConfigErrorNamesInvalidField(t *testing.T) {
 	for field, cfg := range map[string]Config{
 		"url":         {URL: "10.0.0.1:80", Instance: "i"},
 		"instance":    {URL: "http://10.0.0.1:80"},
@@ -306,8 +307,8 @@
 	}
 }
 
-func TestValueOverTheLimitIsRejectedHere(t *testing.T) {
-	c, _ := serve(t, func(http.ResponseWriter, *http.Request) { t.Error("it was sent") })
+func TestOversizedValueIsRejectedWithoutCall(t *testing.T) {
+	c, _ := startServer(t, func(http.ResponseWriter, *http.Request) { t.Error("the oversized value was sent") })
 	_, err := c.Put(t.Context(), "k", "n", 0, make([]byte, platformapi.MaxValue+1))
 	var rejected *RejectedError
 	if !errors.As(err, &rejected) {
--- a/entry/platform/errors.go
+++ b/entry/platform/errors.go
@@ -7,10 +7,10 @@
 )
 
 // ConflictError says that a conditional write had no effect, because the
-// object stands at another version.
+// object has another version.
 type ConflictError struct {
 	Kind, Name string
-	// Version is the object's version as the store knows it; 0 means absent.
+	// Version is the object's version in the store; 0 means absent.
 	Version uint64
 }
 
@@ -27,7 +27,8 @@
 	return fmt.Sprintf("object %s/%s not found", e.Kind, e.Name)
 }
 
-// GoneError says that a watch's revision is too old: list again.
+// GoneError says that a watch's revision is too old: the caller must list the kind
+// again.
 type GoneError struct {
 	Kind  string
 	Since uint64
@@ -38,11 +39,11 @@
 	return fmt.Sprintf("revision %d of kind %s is too old to watch from", e.Since, e.Kind)
 }
 
-// UnavailableError says that a read failed, or that a write provably had no
-// effect: it never left this process.
+// UnavailableError says that a read failed, or that a write was never sent and
+// therefore had no effect.
 type UnavailableError struct {
 	Call Call
-	// RetryAfter is the store's hint; 0 when it gave none.
+	// RetryAfter is the delay that the store asks for; 0 if it asks for none.
 	RetryAfter time.Duration
 	Err        error
 }
@@ -55,10 +56,11 @@
 // Unwrap gives the cause.
 func (e *UnavailableError) Unwrap() error { return e.Err }
 
-// UnknownEffectError says that a write's reply was lost: the write may have
-// taken effect, or may still do so.
+// UnknownEffectError says that a write has no usable reply: it may have taken
+// effect, or may still do so.
 type UnknownEffectError struct {
-	Call       Call
+	Call Call
+	// RetryAfter is the delay that the store asks for; 0 if it asks for none.
 	RetryAfter time.Duration
 	Err        error
 }
@@ -71,10 +73,11 @@
 // Unwrap gives the cause.
 func (e *UnknownEffectError) Unwrap() error { return e.Err }
 
-// RateLimitedError says that the store refused the call because of its rate;
-// the call had no effect.
+// RateLimitedError says that the store refused the call because of its rate
+// limit; the call had no effect.
 type RateLimitedError struct {
-	Call       Call
+	Call Call
+	// RetryAfter is the delay that the store asks for; 0 if it asks for none.
 	RetryAfter time.Duration
 }
 
@@ -83,8 +86,9 @@
 	return fmt.Sprintf("platform %s is rate limited", e.Call)
 }
 
-// RejectedError says that the store refused the call for good: a bad token, a
-// bad request or a value that is too large. The call had no effect.
+// RejectedError says that the store, or this client on its behalf, refused the
+// call and that a retry won't succeed: a bad token, a bad request or a value that
+// is too large. The call had no effect.
 type RejectedError struct {
 	Call   Call
 	Status int
@@ -96,12 +100,12 @@
 	return fmt.Sprintf("platform %s rejected with status %d: %s", e.Call, e.Status, e.Detail)
 }
 
-// statusError is an answer that is no success and has no meaning of its own.
+// statusError is the cause of the error for a reply with a 5xx status.
 type statusError struct{ status int }
 
 func (e *statusError) Error() string { return fmt.Sprintf("status %d", e.status) }
 
-// ConfigError names a setting that the client can't work with.
+// ConfigError says that a setting is invalid.
 type ConfigError struct{ Field, Reason string }
 
 // Error implements error.
@@ -109,7 +113,8 @@
 	return fmt.Sprintf("platform setting %s: %s", e.Field, e.Reason)
 }
 
-// RetryAfter is the store's hint in an error, 0 when it gave none.
+// RetryAfter returns the delay before a retry that the store asked for with err, or
+// 0 if it asked for none.
 func RetryAfter(err error) time.Duration {
 	var unavailable *UnavailableError
 	var limited *RateLimitedError
--- a/entry/platform/exchange.go
+++ b/entry/platform/exchange.go
@@ -13,8 +13,8 @@
 	"github.com/fuchsiaroad/fuchsiaroad/api/platformapi"
 )
 
-// send builds the HTTP request and sends it. A PUT or DELETE is not repeated
-// by the transport once bytes of it were written.
+// send builds the HTTP request and sends it. The transport doesn't retry a PUT or
+// DELETE once it has written bytes of it.
 func (c *Client) send(ctx context.Context, r Request) (*http.Response, error) {
 	var body io.Reader
 	if r.Body != nil {
@@ -34,41 +34,43 @@
 	return c.http.Do(req)
 }
 
-// lost classes a call without a usable reply. A write that may have reached
-// the store has an unknown effect; all else is merely unavailable.
-func lost(r Request, sent bool, retryAfter time.Duration, err error) error {
+// unusableReplyError returns the error of a call without a usable reply. The effect
+// of a write that may have reached the store is unknown; any other call is
+// unavailable.
+func unusableReplyError(r Request, sent bool, retryAfter time.Duration, err error) error {
 	if r.Write && sent {
 		return &UnknownEffectError{Call: r.Call, RetryAfter: retryAfter, Err: err}
 	}
 	return &UnavailableError{Call: r.Call, RetryAfter: retryAfter, Err: err}
 }
 
-// finish turns a reply into a value or an error.
-func finish(r Request, resp *http.Response, into any) error {
+// decodeReply decodes a successful reply into dst and converts any other reply to
+// an error.
+func decodeReply(r Request, resp *http.Response, dst any) error {
 	body, err := readBody(resp)
 	if err != nil {
-		return lost(r, true, 0, err)
+		return unusableReplyError(r, true, 0, err)
 	}
 	retryAfter := parseRetryAfter(resp.Header.Get("Retry-After"))
 	switch {
 	case resp.StatusCode == http.StatusNoContent:
 		return nil
 	case resp.StatusCode >= 200 && resp.StatusCode < 300:
-		if raw, ok := into.(*[]byte); ok {
+		if raw, ok := dst.(*[]byte); ok {
 			*raw = body
 			return nil
 		}
-		if into == nil {
+		if dst == nil {
 			return nil
 		}
-		if err := json.Unmarshal(body, into); err != nil {
-			return lost(r, true, 0, err)
+		if err := json.Unmarshal(body, dst); err != nil {
+			return unusableReplyError(r, true, 0, err)
 		}
 		return nil
 	case resp.StatusCode == http.StatusConflict:
 		var conflict platformapi.Conflict
 		if err := json.Unmarshal(body, &conflict); err != nil {
-			return lost(r, true, 0, err)
+			return unusableReplyError(r, true, 0, err)
 		}
 		return &ConflictError{Kind: r.Kind, Name: r.Name, Version: conflict.Version}
 	case resp.StatusCode == http.StatusNotFound && r.Name != "":
@@ -78,32 +80,34 @@
 	case resp.StatusCode == http.StatusTooManyRequests:
 		return &RateLimitedError{Call: r.Call, RetryAfter: retryAfter}
 	case resp.StatusCode >= 500:
-		return lost(r, true, retryAfter, &statusError{resp.StatusCode})
+		return unusableReplyError(r, true, retryAfter, &statusError{resp.StatusCode})
 	default:
-		return &RejectedError{Call: r.Call, Status: resp.StatusCode, Detail: detail(body)}
+		return &RejectedError{Call: r.Call, Status: resp.StatusCode, Detail: errorDetail(body)}
 	}
 }
 
-// readBody reads a reply's body, into memory of its length where the reply tells it.
+// readBody reads the body of a reply. It allocates the exact size if the reply has a
+// Content-Length.
 func readBody(resp *http.Response) ([]byte, error) {
-	if resp.ContentLength <= 0 || resp.ContentLength > maxReply {
-		return io.ReadAll(io.LimitReader(resp.Body, maxReply))
+	if resp.ContentLength <= 0 || resp.ContentLength > maxReplyBytes {
+		return io.ReadAll(io.LimitReader(resp.Body, maxReplyBytes))
 	}
 	body := make([]byte, resp.ContentLength)
 	_, err := io.ReadFull(resp.Body, body)
 	return body, err
 }
 
-// detailLimit bounds how much of a refusal's body an error repeats.
-const detailLimit = 200
+// maxDetailBytes bounds how much of the body of an error reply a RejectedError quotes.
+const maxDetailBytes = 200
 
-// detail is the start of a refusal's body.
-func detail(body []byte) string {
+// errorDetail returns the start of the body of an error reply.
+func errorDetail(body []byte) string {
 	text := strings.TrimSpace(string(body))
-	return text[:min(len(text), detailLimit)]
+	return text[:min(len(text), maxDetailBytes)]
 }
 
-// parseRetryAfter reads a Retry-After header in seconds; a fraction is taken too.
+// parseRetryAfter parses a Retry-After header in seconds, which may have a fraction.
+// It returns 0 for values that are malformed, not positive, or an hour or more.
 func parseRetryAfter(s string) time.Duration {
 	seconds, err := strconv.ParseFloat(strings.TrimSpace(s), 64)
 	if err != nil || !(seconds > 0 && seconds < float64(time.Hour/time.Second)) {
--- a/entry/platform/follow.go
+++ b/entry/platform/follow.go
@@ -23,31 +23,33 @@
 	Watch(ctx context.Context, kind string, since uint64, wait time.Duration) (platformapi.Events, error)
 }
 
-// FollowConfig says what to follow. Only Kind is required.
+// FollowConfig configures Follow. Only Kind is required.
 type FollowConfig struct {
 	Kind string
 	// Wait is how long one watch waits; 0 means DefaultWatchWait.
 	Wait time.Duration
-	// RetryMin and RetryMax bound the delay after a failure.
+	// RetryMin and RetryMax bound the delay after a failure; 0 means
+	// DefaultRetryMin and DefaultRetryMax.
 	RetryMin, RetryMax time.Duration
-	// Rand spreads retries; nil draws a seed.
+	// Rand draws the jitter of retries; nil means a randomly seeded source.
 	Rand *rand.Rand
-	// OnError is called for each failed call and the delay before the next one.
+	// OnError is called after each failed call with the delay before the next one.
 	OnError func(err error, retryIn time.Duration)
 }
 
-// Update is what Follow tells of a kind.
+// Update is a snapshot of a kind, or changes to it.
 type Update struct {
-	// Listed says that Objects is the whole kind: what is not in it is gone.
+	// Listed reports whether the update is a snapshot: Objects holds all objects
+	// of the kind, and an object that is not in it no longer exists.
 	Listed  bool
 	Objects []platformapi.Object
 	// Events are changes since the last update, oldest first.
 	Events []platformapi.Event
-	// Revision is the store's revision that the update brings us to.
+	// Revision is the store's revision after the update.
 	Revision uint64
 }
 
-// follower is the state of one Follow.
+// follower is the state of one call of Follow.
 type follower struct {
 	source  Source
 	cfg     FollowConfig
@@ -57,11 +59,12 @@
 	since   uint64
 }
 
-// Follow lists a kind and then watches it until ctx ends, calling handle from
-// its own goroutine. It lists again when the store no longer knows the
-// revision. After a failure it goes on from the revision it has, after growing
-// jittered delays, so that instances do not come back together. Updates may
-// repeat what is known; the caller compares versions.
+// Follow lists a kind and then watches it until ctx ends, and calls handle for each
+// update from the goroutine that called Follow. It lists again when the store no
+// longer has the revision. After other failures it resumes from the last revision,
+// with exponential backoff and jitter, so that instances don't all reconnect at the
+// same time after an outage. An update may repeat objects that were reported before;
+// the caller compares versions.
 func Follow(ctx context.Context, source Source, cfg FollowConfig, handle func(Update)) error {
 	if cfg.Kind == "" {
 		return &ConfigError{Field: "kind", Reason: "must not be empty"}
@@ -77,12 +80,12 @@
 		if ctx.Err() != nil {
 			break
 		}
-		f.pause(ctx, err)
+		f.waitAfterError(ctx, err)
 	}
 	return nil
 }
 
-// withDefaults fills in what was left out.
+// withDefaults returns the configuration with defaults for unset fields.
 func (c FollowConfig) withDefaults() FollowConfig {
 	if c.Wait <= 0 {
 		c.Wait = DefaultWatchWait
@@ -114,7 +117,7 @@
 		f.handle(Update{Listed: true, Objects: list.Objects, Revision: list.Revision})
 		return nil
 	}
-	begin := time.Now()
+	start := time.Now()
 	events, err := f.source.Watch(ctx, f.cfg.Kind, f.since, f.cfg.Wait)
 	if err != nil {
 		return err
@@ -122,15 +125,15 @@
 	f.since = max(f.since, events.Revision)
 	if len(events.Events) > 0 {
 		f.handle(Update{Events: events.Events, Revision: events.Revision})
-	} else if time.Since(begin) < f.cfg.Wait/2 {
-		// The store does not wait: don't ask it without pause.
+	} else if time.Since(start) < f.cfg.Wait/2 {
+		// The store answers without waiting: delay the next watch to avoid a busy loop.
 		f.sleep(ctx, f.cfg.RetryMin)
 	}
 	return nil
 }
 
-// pause waits after a failure. A revision that is gone asks for a list.
-func (f *follower) pause(ctx context.Context, err error) {
+// waitAfterError waits after a failed call. A GoneError makes the next call a list.
+func (f *follower) waitAfterError(ctx context.Context, err error) {
 	var gone *GoneError
 	if errors.As(err, &gone) {
 		f.listed = false
@@ -140,7 +143,7 @@
 	f.sleep(ctx, delay)
 }
 
-// sleep waits for d, or less when ctx ends.
+// sleep waits until d has passed or ctx ends.
 func (f *follower) sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/entry/platform/follow_test.go
+++ b/entry/platform/follow_test.go
@@ -14,8 +14,8 @@
 	"github.com/fuchsiaroad/fuchsiaroad/entry/platform/platformtest"
 )
 
-// follow runs Follow in the background and gives the updates.
-func follow(t *testing.T, source platform.Source, seed uint64) <-chan platform.Update {
+// startFollow runs Follow in the background and returns its updates.
+func startFollow(t *testing.T, source platform.Source, seed uint64) <-chan platform.Update {
 	t.Helper()
 	updates := make(chan platform.Update, 100)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -38,7 +38,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		store := platformtest.New(1)
 		put(t, store, "a", 0)
-		updates := follow(t, store, 1)
+		updates := startFollow(t, store, 1)
 		if u := <-updates; !u.Listed || len(u.Objects) != 1 {
 			t.Fatalf("got %+v, want a list of one", u)
 		}
@@ -64,13 +64,13 @@
 	}
 }
 
-// forgetful is a store that has lost its history once.
-type forgetful struct {
+// expiringStore is a store that answers the first watch with GoneError.
+type expiringStore struct {
 	*platformtest.Store
 	once sync.Once
 }
 
-func (f *forgetful) Watch(ctx context.Context, kind string, since uint64, wait time.Duration) (platformapi.Events, error) {
+func (f *expiringStore) Watch(ctx context.Context, kind string, since uint64, wait time.Duration) (platformapi.Events, error) {
 	var err error
 	f.once.Do(func() { err = &platform.GoneError{Kind: kind, Since: since} })
 	if err != nil {
@@ -79,11 +79,11 @@
 	return f.Store.Watch(ctx, kind, since, wait)
 }
 
-func TestFollowListsAgainWhenTheRevisionIsGone(t *testing.T) {
+func TestFollowListsAgainAfterGoneError(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := platformtest.New(1)
 		put(t, store, "a", 0)
-		updates := follow(t, &forgetful{Store: store}, 1)
+		updates := startFollow(t, &expiringStore{Store: store}, 1)
 		for range 2 {
 			if u := <-updates; !u.Listed || len(u.Objects) != 1 {
 				t.Fatalf("got %+v, want a list of one", u)
@@ -92,56 +92,56 @@
 	})
 }
 
-// Eight instances that lost the store together come back spread out, and
-// within the longest delay.
-func TestFollowersComeBackSpread(t *testing.T) {
+// Eight instances that lose the store at the same time list it again at different
+// times after the outage, each within the longest delay.
+func TestFollowersReconnectSpreadOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := platformtest.New(1)
 		store.SetFaults(platformtest.Faults{Down: true})
 		const instances = 8
-		var all []<-chan platform.Update
+		var followers []<-chan platform.Update
 		for i := range uint64(instances) {
-			all = append(all, follow(t, store, i))
+			followers = append(followers, startFollow(t, store, i))
 		}
 		time.Sleep(time.Minute)
 		store.SetFaults(platformtest.Faults{})
-		back := time.Now()
+		restored := time.Now()
 		var mu sync.Mutex
-		var at []time.Duration
-		var wait sync.WaitGroup
-		for _, updates := range all {
-			wait.Go(func() {
+		var delays []time.Duration
+		var wg sync.WaitGroup
+		for _, updates := range followers {
+			wg.Go(func() {
 				<-updates
 				mu.Lock()
 				defer mu.Unlock()
-				at = append(at, time.Since(back))
+				delays = append(delays, time.Since(restored))
 			})
 		}
-		wait.Wait()
-		slices.Sort(at)
-		if last := at[instances-1]; last > platform.DefaultRetryMax {
-			t.Errorf("the last came back after %v", last)
+		wg.Wait()
+		slices.Sort(delays)
+		if last := delays[instances-1]; last > platform.DefaultRetryMax {
+			t.Errorf("the last follower reconnected after %v", last)
 		}
-		if spread := at[instances-1] - at[0]; spread < time.Second {
-			t.Errorf("all came back within %v", spread)
+		if spread := delays[instances-1] - delays[0]; spread < time.Second {
+			t.Errorf("all followers reconnected within %v", spread)
 		}
 	})
 }
 
-// impatient is a store whose watches do not wait.
-type impatient struct{ *platformtest.Store }
+// nonWaitingStore is a store that answers a watch at once.
+type nonWaitingStore struct{ *platformtest.Store }
 
-func (s impatient) Watch(ctx context.Context, kind string, since uint64, _ time.Duration) (platformapi.Events, error) {
+func (s nonWaitingStore) Watch(ctx context.Context, kind string, since uint64, _ time.Duration) (platformapi.Events, error) {
 	return s.Store.Watch(ctx, kind, since, 0)
 }
 
-func TestFollowDoesNotSpin(t *testing.T) {
+func TestFollowLimitsRateOfEmptyWatches(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := platformtest.New(1)
-		<-follow(t, impatient{store}, 1)
+		<-startFollow(t, nonWaitingStore{store}, 1)
 		time.Sleep(10 * time.Second)
 		if n := store.Calls(platform.CallWatch); n > 101 {
-			t.Fatalf("%d watches in 10 s, want one each 100 ms", n)
+			t.Fatalf("%d watches in 10 s, want at most one each 100 ms", n)
 		}
 	})
 }
--- a/entry/platform/meter.go
+++ b/entry/platform/meter.go
@@ -6,10 +6,11 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// Call is the kind of a call to the platform.
+// Call is the type of a call to the platform.
 type Call string
 
-// The calls. The platform counts each one, a waiting watch as one.
+// The types of calls. The platform counts each call, and a watch as one call
+// however long it waits.
 const (
 	CallGet       Call = "get"
 	CallPut       Call = "put"
@@ -34,9 +35,9 @@
 	ResultUnknownEffect Result = "unknown_effect"
 )
 
-// Meter counts calls. Its methods are called by many goroutines.
+// Meter counts calls. It must be safe for concurrent use.
 type Meter interface {
-	// PlatformCall counts one ended call and how long it took.
+	// PlatformCall records the result and latency of a finished call.
 	PlatformCall(call Call, result Result, latency time.Duration)
 }
 
@@ -45,7 +46,7 @@
 
 func (nopMeter) PlatformCall(Call, Result, time.Duration) {}
 
-// ScopeMeter counts calls to the platform by kind and result. It implements Meter.
+// ScopeMeter is a Meter that records calls in a metrics scope, by type and result.
 type ScopeMeter struct{ Scope tally.Scope }
 
 // PlatformCall implements Meter.
--- a/entry/platform/platformtest/store.go
+++ b/entry/platform/platformtest/store.go
@@ -1,6 +1,6 @@
-// Package platformtest is an in-memory object API with faults, for tests of
-// what uses the platform. It waits with time.Sleep and timers only, so that it
-// works in virtual time.
+// Package platformtest is an in-memory object API with fault injection, for tests
+// of code that uses package platform. It waits on timers and contexts only, so that
+// it works in the virtual time of testing/synctest.
 package platformtest
 
 import (
@@ -15,54 +15,56 @@
 	"github.com/fuchsiaroad/fuchsiaroad/entry/platform"
 )
 
-// ErrInjected is the cause of every failure that the store makes up.
-var ErrInjected = errors.New("fault of the test store")
+// ErrInjected is the cause of every injected failure.
+var ErrInjected = errors.New("injected fault")
 
-// Faults are what goes wrong. Shares are in [0, 1].
+// Faults are the faults to inject. Shares are in [0, 1].
 type Faults struct {
 	// Down fails every call at once, without effect.
 	Down bool
-	// Hang keeps every call until its context ends; writes have no effect.
+	// Hang blocks every call until its context ends; writes have no effect.
 	Hang bool
-	// Latency is how long a call takes; Jitter is the most added to it.
+	// Latency is how long a call takes; Jitter bounds the random addition to it.
 	Latency, Jitter time.Duration
 	// FailReads is the share of reads that fail.
 	FailReads float64
-	// StaleReads is the share of reads that show an earlier state.
+	// StaleReads is the share of Get calls that may return an earlier state.
 	StaleReads float64
-	// LoseRequests, LoseReplies and DelayEffects are the shares of writes whose reply
-	// is lost: before an effect, after it, and with an effect EffectDelay later.
+	// LoseRequests, LoseReplies and DelayEffects are the shares of writes that end
+	// in UnknownEffectError: without effect, after the effect, and with an effect
+	// that comes EffectDelay later.
 	LoseRequests, LoseReplies, DelayEffects float64
 	EffectDelay                             time.Duration
-	// WriteRate is the most writes a second, more get RateLimitedError; 0 is
-	// no limit. Up to a tenth of a second's writes may come at once.
+	// WriteRate is the limit of writes per second, above which a write gets a
+	// RateLimitedError; 0 means no limit. Bursts of up to a tenth of a second's
+	// writes are allowed.
 	WriteRate float64
 }
 
 // Store is the in-memory object API.
 type Store struct {
-	mu       sync.Mutex
-	rng      *rand.Rand
-	faults   Faults
-	revision uint64
-	objects  map[id][]platformapi.Object // history, the last is the present
-	calls    map[platform.Call]int
-	changed  chan struct{}
-	tokens   float64 // writes that may come at once now
-	filledAt time.Time
+	mu         sync.Mutex
+	rng        *rand.Rand
+	faults     Faults
+	revision   uint64
+	objects    map[objectKey][]platformapi.Object // the latest states, oldest first
+	calls      map[platform.Call]int
+	changed    chan struct{}
+	tokens     float64 // of the token bucket of writes
+	refilledAt time.Time
 }
 
-// id names an object.
-type id struct{ kind, name string }
+// objectKey identifies an object.
+type objectKey struct{ kind, name string }
 
-// history bounds the states kept of an object for stale reads.
-const history = 4
+// maxHistory bounds the states of an object that are kept for stale reads.
+const maxHistory = 4
 
-// New makes an empty store whose faults are drawn from the seed.
+// New returns an empty store that draws its random faults from the seed.
 func New(seed uint64) *Store {
 	return &Store{
 		rng:     rand.New(rand.NewPCG(seed, 11)),
-		objects: make(map[id][]platformapi.Object),
+		objects: make(map[objectKey][]platformapi.Object),
 		calls:   make(map[platform.Call]int),
 		changed: make(chan struct{}),
 	}
@@ -75,43 +77,43 @@
 	s.faults = f
 }
 
-// Calls is how many calls of a kind were made.
+// Calls returns the number of calls of a type.
 func (s *Store) Calls(c platform.Call) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls[c]
 }
 
-// draws are the random choices of one call.
-type draws struct {
-	faults Faults
-	wait   time.Duration
-	share  float64
-	pick   int
+// callPlan holds the faults of one call and its random choices.
+type callPlan struct {
+	faults  Faults
+	latency time.Duration
+	roll    float64
+	staleBy int
 }
 
-// begin counts a call and draws what becomes of it.
-func (s *Store) begin(c platform.Call) draws {
+// startCall counts a call and draws its random choices.
+func (s *Store) startCall(c platform.Call) callPlan {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls[c]++
-	d := draws{faults: s.faults, wait: s.faults.Latency, share: s.rng.Float64(), pick: s.rng.IntN(history)}
+	p := callPlan{faults: s.faults, latency: s.faults.Latency, roll: s.rng.Float64(), staleBy: s.rng.IntN(maxHistory)}
 	if s.faults.Jitter > 0 {
-		d.wait += time.Duration(s.rng.Int64N(int64(s.faults.Jitter)))
+		p.latency += time.Duration(s.rng.Int64N(int64(s.faults.Jitter)))
 	}
-	return d
+	return p
 }
 
-// delay waits for the call's latency; false says that the context ended first.
-func (d draws) delay(ctx context.Context) bool {
-	if d.faults.Hang {
+// waitLatency waits for the call's latency. It returns false if the context ends first.
+func (p callPlan) waitLatency(ctx context.Context) bool {
+	if p.faults.Hang {
 		<-ctx.Done()
 		return false
 	}
-	if d.wait <= 0 {
+	if p.latency <= 0 {
 		return ctx.Err() == nil
 	}
-	timer := time.NewTimer(d.wait)
+	timer := time.NewTimer(p.latency)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -121,43 +123,44 @@
 	}
 }
 
-// read begins a reading call and fails it if the faults say so.
-func (s *Store) read(ctx context.Context, c platform.Call) (draws, error) {
-	d := s.begin(c)
-	if d.faults.Down {
-		return d, &platform.UnavailableError{Call: c, Err: ErrInjected}
+// startRead starts a read, waits for its latency and returns the injected error, if
+// any.
+func (s *Store) startRead(ctx context.Context, c platform.Call) (callPlan, error) {
+	p := s.startCall(c)
+	if p.faults.Down {
+		return p, &platform.UnavailableError{Call: c, Err: ErrInjected}
 	}
-	if !d.delay(ctx) {
-		return d, &platform.UnavailableError{Call: c, Err: ctx.Err()}
+	if !p.waitLatency(ctx) {
+		return p, &platform.UnavailableError{Call: c, Err: ctx.Err()}
 	}
-	if d.share < d.faults.FailReads {
-		return d, &platform.UnavailableError{Call: c, Err: ErrInjected}
+	if p.roll < p.faults.FailReads {
+		return p, &platform.UnavailableError{Call: c, Err: ErrInjected}
 	}
-	return d, nil
+	return p, nil
 }
 
 // Get reads an object.
 func (s *Store) Get(ctx context.Context, kind, name string) (platformapi.Object, error) {
-	d, err := s.read(ctx, platform.CallGet)
+	p, err := s.startRead(ctx, platform.CallGet)
 	if err != nil {
 		return platformapi.Object{}, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	states := s.objects[id{kind, name}]
-	at := len(states) - 1
-	if d.share > 1-d.faults.StaleReads {
-		at = max(-1, at-d.pick)
+	states := s.objects[objectKey{kind, name}]
+	index := len(states) - 1
+	if p.roll > 1-p.faults.StaleReads {
+		index = max(-1, index-p.staleBy)
 	}
-	if at < 0 || states[at].Version == 0 {
+	if index < 0 || states[index].Version == 0 {
 		return platformapi.Object{}, &platform.NotFoundError{Kind: kind, Name: name}
 	}
-	return states[at], nil
+	return states[index], nil
 }
 
 // List reads all objects of a kind.
 func (s *Store) List(ctx context.Context, kind string) (platformapi.List, error) {
-	if _, err := s.read(ctx, platform.CallList); err != nil {
+	if _, err := s.startRead(ctx, platform.CallList); err != nil {
 		return platformapi.List{}, err
 	}
 	s.mu.Lock()
@@ -172,9 +175,9 @@
 	return list, nil
 }
 
-// Watch waits for a change of a kind after since.
+// Watch waits at most wait for a change of a kind after revision since.
 func (s *Store) Watch(ctx context.Context, kind string, since uint64, wait time.Duration) (platformapi.Events, error) {
-	if _, err := s.read(ctx, platform.CallWatch); err != nil {
+	if _, err := s.startRead(ctx, platform.CallWatch); err != nil {
 		return platformapi.Events{}, err
 	}
 	timer := time.NewTimer(wait)
@@ -194,8 +197,8 @@
 	}
 }
 
-// eventsSince gives the changes after a revision, oldest first, and a channel
-// that closes at the next one.
+// eventsSince returns the changes after a revision, oldest first, and a channel
+// that is closed at the next change.
 func (s *Store) eventsSince(kind string, since uint64) (platformapi.Events, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -210,37 +213,38 @@
 	return events, s.changed
 }
 
-// Put writes an object if it stands at version ifVersion.
+// Put writes an object if its version is ifVersion, where 0 means absent.
 func (s *Store) Put(ctx context.Context, kind, name string, ifVersion uint64, value []byte) (uint64, error) {
-	d := s.begin(platform.CallPut)
-	f := d.faults
+	p := s.startCall(platform.CallPut)
+	f := p.faults
 	if f.Down {
 		return 0, &platform.UnavailableError{Call: platform.CallPut, Err: ErrInjected}
 	}
 	if !s.allowWrite() {
 		return 0, &platform.RateLimitedError{Call: platform.CallPut}
 	}
-	if !d.delay(ctx) {
+	if !p.waitLatency(ctx) {
 		return 0, &platform.UnknownEffectError{Call: platform.CallPut, Err: ctx.Err()}
 	}
 	lost := &platform.UnknownEffectError{Call: platform.CallPut, Err: ErrInjected}
 	switch {
-	case d.share < f.LoseRequests:
+	case p.roll < f.LoseRequests:
 		return 0, lost
-	case d.share < f.LoseRequests+f.LoseReplies:
+	case p.roll < f.LoseRequests+f.LoseReplies:
 		_, _ = s.apply(kind, name, ifVersion, value)
 		return 0, lost
-	case d.share < f.LoseRequests+f.LoseReplies+f.DelayEffects:
+	case p.roll < f.LoseRequests+f.LoseReplies+f.DelayEffects:
 		time.AfterFunc(f.EffectDelay, func() { _, _ = s.apply(kind, name, ifVersion, value) })
 		return 0, lost
 	}
 	return s.apply(kind, name, ifVersion, value)
 }
 
-// burstTime is the time whose writes may come at once under a WriteRate.
-const burstTime = 0.1
+// burstSeconds is the size of the token bucket of writes, in seconds of WriteRate.
+const burstSeconds = 0.1
 
-// allowWrite takes a token of the write rate, if there is one.
+// allowWrite takes a token from the bucket of writes. It returns false if the bucket
+// is empty.
 func (s *Store) allowWrite() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -249,8 +253,8 @@
 		return true
 	}
 	now := time.Now()
-	s.tokens = min(rate*burstTime, s.tokens+rate*now.Sub(s.filledAt).Seconds())
-	s.filledAt = now
+	s.tokens = min(rate*burstSeconds, s.tokens+rate*now.Sub(s.refilledAt).Seconds())
+	s.refilledAt = now
 	if s.tokens < 1 {
 		return false
 	}
@@ -258,22 +262,22 @@
 	return true
 }
 
-// apply does a conditional write.
+// apply writes an object if its version is ifVersion.
 func (s *Store) apply(kind, name string, ifVersion uint64, value []byte) (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	key := id{kind, name}
+	key := objectKey{kind, name}
 	states := s.objects[key]
-	var present uint64
+	var current uint64
 	if len(states) > 0 {
-		present = states[len(states)-1].Version
+		current = states[len(states)-1].Version
 	}
-	if present != ifVersion {
-		return 0, &platform.ConflictError{Kind: kind, Name: name, Version: present}
+	if current != ifVersion {
+		return 0, &platform.ConflictError{Kind: kind, Name: name, Version: current}
 	}
 	s.revision++
 	states = append(states, platformapi.Object{Kind: kind, Name: name, Version: s.revision, Value: slices.Clone(value)})
-	if len(states) > history {
+	if len(states) > maxHistory {
 		states = slices.Clone(states[1:])
 	}
 	s.objects[key] = states
