--- a/entry/console/control_test.go
+++ b/entry/console/control_test.go
@@ -39,7 +39,7 @@
 	return nil, errNoPeers
 }
 
-func (noPeers) Keep([]peer.Target) {}
+func (noPeers) CloseExcept([]peer.Target) {}
 
 // listing is a store with an empty list of instances.
 type listing struct{ *platformtest.Store }
--- a/entry/control/config.go
+++ b/entry/control/config.go
@@ -27,7 +27,7 @@
 type Peers interface {
 	Digest(ctx context.Context, t peer.Target, d *peerapi.Digest) (*peerapi.Digest, error)
 	Document(ctx context.Context, t peer.Target, above uint64) (*peerapi.Document, error)
-	Keep(targets []peer.Target)
+	CloseExcept(targets []peer.Target)
 }
 
 // Quarantine is what digests carry of the quarantine; *executor.Executor is one.
--- a/entry/control/digest_bench_test.go
+++ b/entry/control/digest_bench_test.go
@@ -66,7 +66,7 @@
 		if first == nil {
 			first = c
 		}
-		server := peer.NewServer(peer.ServerConfig{Instance: fmt.Sprint(i), Key: benchKey, Handler: c})
+		server := peer.NewServer(peer.ServerConfig{Instance: fmt.Sprint(i), Key: benchKey, Gossip: c})
 		wg.Go(func() { _ = server.Serve(ctx, listeners[i]) })
 		wg.Go(func() { _ = c.Run(ctx) })
 	}
--- a/entry/control/fleet_test.go
+++ b/entry/control/fleet_test.go
@@ -270,7 +270,7 @@
 	return c.Document(above), nil
 }
 
-func (wire) Keep([]peer.Target) {}
+func (wire) CloseExcept([]peer.Target) {}
 
 // quiet drops log lines.
 type quiet struct{}
--- a/entry/control/members.go
+++ b/entry/control/members.go
@@ -57,7 +57,7 @@
 	for _, p := range c.membership.Peers() {
 		keep = append(keep, targetOf(p))
 	}
-	c.cfg.Peers.Keep(keep)
+	c.cfg.Peers.CloseExcept(keep)
 	c.forgetSilent(c.membership.Peers())
 }
 
@@ -146,7 +146,7 @@
 	c.member(membership.DigestReceived{Digest: in})
 }
 
-// Digest implements peer.Handler: it takes a peer's digest and gives this
+// Digest implements peer.GossipHandler: it takes a peer's digest and gives this
 // instance's. Any goroutine may call it.
 func (c *Control) Digest(_ string, d *peerapi.Digest) *peerapi.Digest {
 	out := &peerapi.Digest{Instance: c.cfg.Instance, Zone: c.cfg.Zone}
@@ -165,7 +165,7 @@
 	return out
 }
 
-// Document implements peer.Handler. Any goroutine may call it.
+// Document implements peer.GossipHandler. Any goroutine may call it.
 func (c *Control) Document(above uint64) *peerapi.Document {
 	v := c.current.Load()
 	if v == nil || v.Generation <= above {
--- a/entry/hosted/forwarding/forwarding.go
+++ b/entry/hosted/forwarding/forwarding.go
@@ -36,8 +36,8 @@
 
 // Peers calls other instances.
 type Peers interface {
-	Forward(ctx context.Context, to peer.Target, r *peerapi.ForwardRequest, a peer.Acceptance) (*peerapi.ForwardReply, error)
-	Rest(ctx context.Context, to peer.Target, id uint64) (*peerapi.ForwardReply, error)
+	Forward(ctx context.Context, to peer.Target, r *peerapi.ForwardRequest, a peer.OfferOptions) (*peerapi.ForwardReply, error)
+	NextReply(ctx context.Context, to peer.Target, id uint64) (*peerapi.ForwardReply, error)
 	// Connect opens a connection where none is kept.
 	Connect(ctx context.Context, to peer.Target) error
 }
--- a/entry/hosted/forwarding/gather.go
+++ b/entry/hosted/forwarding/gather.go
@@ -106,7 +106,7 @@
 		if reply.Gathered == nil || !reply.Gathered.Going {
 			return nil
 		}
-		if reply, err = f.config.Peers.Rest(ctx, targetOf(to), request.ID); err != nil {
+		if reply, err = f.config.Peers.NextReply(ctx, targetOf(to), request.ID); err != nil {
 			return err
 		}
 	}
@@ -121,7 +121,7 @@
 func (f *Forwarder) firstReply(ctx context.Context, r *executor.Request, to fleet.Instance, request *peerapi.ForwardRequest, sent func() bool) (*peerapi.ForwardReply, error) {
 	ctx, cancel := context.WithDeadline(ctx, gatheredBy(r))
 	defer cancel()
-	return f.config.Peers.Forward(ctx, targetOf(to), request, peer.Acceptance{Within: takeWithin, Accepted: sent})
+	return f.config.Peers.Forward(ctx, targetOf(to), request, peer.OfferOptions{Timeout: takeWithin, Confirm: sent})
 }
 
 // gatheredBy is when a group of which nothing has come is taken for lost.
@@ -216,7 +216,7 @@
 }
 
 // runGather gathers a group for another instance.
-func (f *Forwarder) runGather(ctx context.Context, v *view.View, r *peerapi.ForwardRequest, handed gateway.Handed) (*peerapi.ForwardReply, peer.Rest) {
+func (f *Forwarder) runGather(ctx context.Context, v *view.View, r *peerapi.ForwardRequest, handed gateway.Handed) (*peerapi.ForwardReply, peer.NextReplyFunc) {
 	if why := f.offerGather(v, r); why != "" { // it changed since the offer
 		return &peerapi.ForwardReply{Version: v.Generation, Gathered: &peerapi.Gathered{Refused: why}}, nil
 	}
--- a/entry/hosted/forwarding/relay.go
+++ b/entry/hosted/forwarding/relay.go
@@ -94,7 +94,7 @@
 func (f *Forwarder) handOver(ctx context.Context, to fleet.Instance, r *executor.Request, now time.Time) (*peerapi.ForwardReply, error) {
 	ctx, cancel := context.WithDeadline(ctx, r.Deadline)
 	defer cancel()
-	return f.config.Peers.Forward(ctx, targetOf(to), f.forwardRequest(r, now, f.forwardDelays.high()), peer.Acceptance{Within: acceptWithin})
+	return f.config.Peers.Forward(ctx, targetOf(to), f.forwardRequest(r, now, f.forwardDelays.high()), peer.OfferOptions{Timeout: acceptWithin})
 }
 
 // forwardRequest is a request as it is handed over now, and reaches the other instance after a delay.
@@ -181,7 +181,7 @@
 }
 
 // RunOffered implements peer.ForwardHandler.
-func (f *Forwarder) RunOffered(ctx context.Context, r *peerapi.ForwardRequest) (*peerapi.ForwardReply, peer.Rest) {
+func (f *Forwarder) RunOffered(ctx context.Context, r *peerapi.ForwardRequest) (*peerapi.ForwardReply, peer.NextReplyFunc) {
 	v := f.config.Views.View()
 	now := time.Now()
 	handed := gateway.Handed{
--- a/entry/hosted/forwarding/relay_test.go
+++ b/entry/hosted/forwarding/relay_test.go
@@ -31,13 +31,13 @@
 type strong struct {
 	declined string
 	run      func(ctx context.Context) *peerapi.ForwardReply
-	rest     peer.Rest
+	rest     peer.NextReplyFunc
 	lost     bool // its connection is lost after the first reply
 }
 
 func (s strong) Offer(string, *peerapi.ForwardRequest) string { return s.declined }
 
-func (s strong) RunOffered(ctx context.Context, _ *peerapi.ForwardRequest) (*peerapi.ForwardReply, peer.Rest) {
+func (s strong) RunOffered(ctx context.Context, _ *peerapi.ForwardRequest) (*peerapi.ForwardReply, peer.NextReplyFunc) {
 	return s.run(ctx), s.rest
 }
 
--- a/entry/hosted/hosted.go
+++ b/entry/hosted/hosted.go
@@ -158,7 +158,7 @@
 	n.tunables.Store(&c.Tunables)
 	n.fleet = newMembers(n)
 	n.slow = slowleaves.New()
-	n.peers = peer.NewClient(peer.ClientConfig{Instance: c.Instance, Key: c.PeerKey, DialTimeout: syncTimeout, Silence: syncTimeout})
+	n.peers = peer.NewClient(peer.ClientConfig{Instance: c.Instance, Key: c.PeerKey, DialTimeout: syncTimeout, SyncIdleTimeout: syncTimeout})
 	n.control = newControl(n)
 	n.leaves = c.NewLeaves(n.control.leafGone)
 	n.forwarder = forwarding.New(forwarding.Config{
--- a/entry/node/assemble.go
+++ b/entry/node/assemble.go
@@ -31,7 +31,7 @@
 		Placement: placement(plugin.PlacementConfig{Headroom: placementHeadroom}), Quarantine: fleetQuarantine{n}, Publish: n.publish,
 		Log: n.log.Part("control"), Seed: uint64(time.Now().UnixNano()),
 	})
-	n.peerServe = peer.NewServer(peer.ServerConfig{Instance: s.Instance, Key: s.Peer.Key, Handler: n.control})
+	n.peerServe = peer.NewServer(peer.ServerConfig{Instance: s.Instance, Key: s.Peer.Key, Gossip: n.control})
 	return nil
 }
 
--- a/entry/node/tls_test.go
+++ b/entry/node/tls_test.go
@@ -166,7 +166,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
-	server := peer.NewServer(peer.ServerConfig{Instance: "server", Key: []byte("key"), Handler: handler{}})
+	server := peer.NewServer(peer.ServerConfig{Instance: "server", Key: []byte("key"), Gossip: handler{}})
 	go func() { done <- server.Serve(ctx, tls.NewListener(raw, config(ca, 2))) }()
 	defer func() {
 		cancel()
--- a/entry/peer/client.go
+++ b/entry/peer/client.go
@@ -32,9 +32,9 @@
 	TLS      *tls.Config // nil: plain TCP
 	// DialTimeout bounds opening a connection; 0 means one second.
 	DialTimeout time.Duration
-	// Silence bounds the time in which no byte comes in during Sync, whose reply may be
+	// SyncIdleTimeout bounds the time in which no byte comes in during Sync, whose reply may be
 	// large: one that moves is not cut off. 0 sets no bound.
-	Silence time.Duration
+	SyncIdleTimeout time.Duration
 	// Dial opens a connection; nil: TCP, or TLS where it is set.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 }
@@ -80,9 +80,9 @@
 	if err != nil {
 		return nil, err
 	}
-	if c.config.Silence > 0 {
+	if c.config.SyncIdleTimeout > 0 {
 		var release func()
-		ctx, release = conn.untilSilent(ctx, c.config.Silence)
+		ctx, release = conn.untilSilent(ctx, c.config.SyncIdleTimeout)
 		defer release()
 	}
 	var reply peerapi.SyncReply
@@ -99,8 +99,8 @@
 	return err
 }
 
-// Keep closes the connections to peers that are not named.
-func (c *Client) Keep(targets []Target) {
+// CloseExcept closes the connections to peers that are not named.
+func (c *Client) CloseExcept(targets []Target) {
 	keep := make(map[Target]bool, len(targets))
 	for _, t := range targets {
 		keep[t] = true
@@ -116,7 +116,7 @@
 }
 
 // Close closes all connections.
-func (c *Client) Close() { c.Keep(nil) }
+func (c *Client) Close() { c.CloseExcept(nil) }
 
 // call makes one call. A connection that fails is dropped: the next call opens
 // another. The calls are idempotent, but the caller decides on a second try.
@@ -135,7 +135,7 @@
 		return nil
 	}
 	c.drop(t, conn)
-	var silence *SilenceError
+	var silence *IdleTimeoutError
 	if errors.As(context.Cause(ctx), &silence) {
 		err = silence
 	}
--- a/entry/peer/errors.go
+++ b/entry/peer/errors.go
@@ -35,8 +35,8 @@
 // Unwrap gives the cause.
 func (e *UnreachableError) Unwrap() error { return e.Err }
 
-// SilenceError says that no byte of a reply came in for a time.
-type SilenceError struct{ For time.Duration }
+// IdleTimeoutError says that no byte of a reply came in for a time.
+type IdleTimeoutError struct{ Timeout time.Duration }
 
 // Error implements error.
-func (e *SilenceError) Error() string { return fmt.Sprintf("silent for %v", e.For) }
+func (e *IdleTimeoutError) Error() string { return fmt.Sprintf("silent for %v", e.Timeout) }
--- a/entry/peer/forward.go
+++ b/entry/peer/forward.go
@@ -98,7 +98,7 @@
 type running struct {
 	ctx    context.Context // of the run, which outlives a call where there is a rest
 	cancel context.CancelFunc
-	rest   Rest // nil until the first reply
+	rest   NextReplyFunc // nil until the first reply
 }
 
 // rest waits for what a run brings after its first reply.
@@ -122,7 +122,7 @@
 }
 
 // goesOn finds a run that has given its first reply; rest is nil without one.
-func (s *session) goesOn(id uint64) (in *running, rest Rest) {
+func (s *session) goesOn(id uint64) (in *running, rest NextReplyFunc) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if in = s.running[id]; in == nil {
@@ -193,13 +193,13 @@
 // Error implements error.
 func (e *DeclinedError) Error() string { return "declined: " + e.Reason }
 
-// Acceptance is how a peer takes a request over.
-type Acceptance struct {
-	// Within is the time that it may take to accept, counted while this instance runs.
-	Within time.Duration
-	// Accepted is called when it has, before the word to run goes out, which does
+// OfferOptions is how a peer takes a request over.
+type OfferOptions struct {
+	// Timeout is the time that it may take to accept, counted while this instance runs.
+	Timeout time.Duration
+	// Confirm is called when it has, before the word to run goes out, which does
 	// not if it returns false; nil: it always goes out.
-	Accepted func() bool
+	Confirm func() bool
 }
 
 // ErrRecalled is the cause of a NotAcceptedError where the word to run was not given.
@@ -207,12 +207,12 @@
 
 // Forward hands a request over to a peer. The error is a *NotAcceptedError, or says
 // that the peer was lost after it had accepted: the request may have run then.
-func (c *Client) Forward(ctx context.Context, t Target, r *peerapi.ForwardRequest, a Acceptance) (*peerapi.ForwardReply, error) {
+func (c *Client) Forward(ctx context.Context, t Target, r *peerapi.ForwardRequest, a OfferOptions) (*peerapi.ForwardReply, error) {
 	r.ID = c.lastOffer.Add(1)
-	if err := c.offer(ctx, t, r, a.Within); err != nil {
+	if err := c.offer(ctx, t, r, a.Timeout); err != nil {
 		return nil, &NotAcceptedError{Address: t.Address, Err: err}
 	}
-	if a.Accepted != nil && !a.Accepted() {
+	if a.Confirm != nil && !a.Confirm() {
 		return nil, &NotAcceptedError{Address: t.Address, Err: ErrRecalled}
 	}
 	conn, err := c.conn(ctx, t)
@@ -222,9 +222,9 @@
 	return c.follow(ctx, conn, t, peerapi.MethodRun, r.ID)
 }
 
-// Rest waits for what a run brings after its first reply. It ends the run where the
+// NextReply waits for what a run brings after its first reply. It ends the run where the
 // context ends first.
-func (c *Client) Rest(ctx context.Context, t Target, id uint64) (*peerapi.ForwardReply, error) {
+func (c *Client) NextReply(ctx context.Context, t Target, id uint64) (*peerapi.ForwardReply, error) {
 	conn, err := c.conn(ctx, t)
 	if err != nil {
 		return nil, &UnreachableError{Address: t.Address, Method: peerapi.MethodRest, Err: err}
--- a/entry/peer/forward_test.go
+++ b/entry/peer/forward_test.go
@@ -15,7 +15,7 @@
 type forwarder struct {
 	offered func() (declined string)
 	run     func(ctx context.Context, r *peerapi.ForwardRequest) *peerapi.ForwardReply
-	rest    Rest
+	rest    NextReplyFunc
 }
 
 func (f forwarder) Offer(string, *peerapi.ForwardRequest) string {
@@ -25,7 +25,7 @@
 	return f.offered()
 }
 
-func (f forwarder) RunOffered(ctx context.Context, r *peerapi.ForwardRequest) (*peerapi.ForwardReply, Rest) {
+func (f forwarder) RunOffered(ctx context.Context, r *peerapi.ForwardRequest) (*peerapi.ForwardReply, NextReplyFunc) {
 	return f.run(ctx, r), f.rest
 }
 
@@ -65,10 +65,10 @@
 	}})
 	slow := make(chan error, 1)
 	go func() {
-		_, err := c.Forward(t.Context(), target, &peerapi.ForwardRequest{Request: "slow"}, Acceptance{Within: long})
+		_, err := c.Forward(t.Context(), target, &peerapi.ForwardRequest{Request: "slow"}, OfferOptions{Timeout: long})
 		slow <- err
 	}()
-	reply, err := c.Forward(t.Context(), target, &peerapi.ForwardRequest{Request: "fast", Version: 7}, Acceptance{Within: long})
+	reply, err := c.Forward(t.Context(), target, &peerapi.ForwardRequest{Request: "fast", Version: 7}, OfferOptions{Timeout: long})
 	if err != nil || string(reply.Body) != "fast" || reply.Version != 7 {
 		t.Errorf("reply %+v, %v", reply, err)
 	}
@@ -93,17 +93,17 @@
 		return ""
 	}})
 	var notAccepted *NotAcceptedError
-	if _, err := silent.Forward(t.Context(), silentTarget, &peerapi.ForwardRequest{}, Acceptance{Within: time.Second}); !errors.As(err, &notAccepted) {
+	if _, err := silent.Forward(t.Context(), silentTarget, &peerapi.ForwardRequest{}, OfferOptions{Timeout: time.Second}); !errors.As(err, &notAccepted) {
 		t.Errorf("a silent peer: %v, want a NotAcceptedError", err)
 	}
 	close(wake)
 	<-awake
 	declining, target, _ := pair(t, forwarder{run: run, offered: func() string { return "older configuration" }})
 	var declined *DeclinedError
-	if _, err := declining.Forward(t.Context(), target, &peerapi.ForwardRequest{}, Acceptance{Within: long}); !errors.As(err, &notAccepted) || !errors.As(err, &declined) {
+	if _, err := declining.Forward(t.Context(), target, &peerapi.ForwardRequest{}, OfferOptions{Timeout: long}); !errors.As(err, &notAccepted) || !errors.As(err, &declined) {
 		t.Errorf("a peer that declines: %v, want a NotAcceptedError with its reason", err)
 	}
-	if _, err := declining.Forward(t.Context(), Target{Instance: "none", Address: "127.0.0.1:1"}, &peerapi.ForwardRequest{}, Acceptance{Within: time.Second}); !errors.As(err, &notAccepted) {
+	if _, err := declining.Forward(t.Context(), Target{Instance: "none", Address: "127.0.0.1:1"}, &peerapi.ForwardRequest{}, OfferOptions{Timeout: time.Second}); !errors.As(err, &notAccepted) {
 		t.Errorf("no peer: %v, want a NotAcceptedError", err)
 	}
 	if n := ran.Load(); n != 0 {
@@ -125,7 +125,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
 	forward := func(ctx context.Context) {
-		_, err := c.Forward(ctx, target, &peerapi.ForwardRequest{}, Acceptance{Within: long})
+		_, err := c.Forward(ctx, target, &peerapi.ForwardRequest{}, OfferOptions{Timeout: long})
 		done <- err
 	}
 	go forward(ctx)
@@ -166,25 +166,25 @@
 	})
 	begin := func() *peerapi.ForwardRequest {
 		r := &peerapi.ForwardRequest{LeftUS: long.Microseconds()}
-		if reply, err := c.Forward(t.Context(), target, r, Acceptance{Within: long}); err != nil || string(reply.Body) != "first" {
+		if reply, err := c.Forward(t.Context(), target, r, OfferOptions{Timeout: long}); err != nil || string(reply.Body) != "first" {
 			t.Fatalf("first reply %+v, %v", reply, err)
 		}
 		return r
 	}
 	whole := begin()
 	go func() { later <- struct{}{} }()
-	if reply, err := c.Rest(t.Context(), target, whole.ID); err != nil || string(reply.Body) != "last" {
+	if reply, err := c.NextReply(t.Context(), target, whole.ID); err != nil || string(reply.Body) != "last" {
 		t.Fatalf("last reply %+v, %v", reply, err)
 	}
 	<-ended
 	var lost *UnreachableError
-	if _, err := c.Rest(t.Context(), target, whole.ID); !errors.As(err, &lost) {
+	if _, err := c.NextReply(t.Context(), target, whole.ID); !errors.As(err, &lost) {
 		t.Errorf("the rest of a run that has ended: %v, want an UnreachableError", err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	left := begin()
 	time.AfterFunc(10*time.Millisecond, cancel)
-	if _, err := c.Rest(ctx, target, left.ID); !errors.As(err, &lost) {
+	if _, err := c.NextReply(ctx, target, left.ID); !errors.As(err, &lost) {
 		t.Errorf("a rest that nobody needs: %v, want an UnreachableError", err)
 	}
 	<-ended
@@ -197,7 +197,7 @@
 		return &peerapi.ForwardReply{}
 	}})
 	var notAccepted *NotAcceptedError
-	_, err := c.Forward(t.Context(), target, &peerapi.ForwardRequest{}, Acceptance{Within: long, Accepted: func() bool { return false }})
+	_, err := c.Forward(t.Context(), target, &peerapi.ForwardRequest{}, OfferOptions{Timeout: long, Confirm: func() bool { return false }})
 	if !errors.As(err, &notAccepted) || !errors.Is(err, ErrRecalled) {
 		t.Errorf("%v, want a NotAcceptedError for ErrRecalled", err)
 	}
--- a/entry/peer/fuzz_test.go
+++ b/entry/peer/fuzz_test.go
@@ -45,7 +45,7 @@
 	f.Add("shutdown", []byte(`[]`), true)
 	f.Fuzz(func(t *testing.T, method string, params []byte, proved bool) {
 		handler := &countingHandler{}
-		server := NewServer(ServerConfig{Instance: "server", Key: []byte("key"), Handler: handler})
+		server := NewServer(ServerConfig{Instance: "server", Key: []byte("key"), Gossip: handler})
 		s := &session{server: server, nonce: newNonce()}
 		if proved {
 			s.proved = "client"
--- a/entry/peer/peer_test.go
+++ b/entry/peer/peer_test.go
@@ -39,7 +39,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() {
-		done <- NewServer(ServerConfig{Instance: "server", Key: []byte(key), Handler: echoHandler{}}).Serve(ctx, l)
+		done <- NewServer(ServerConfig{Instance: "server", Key: []byte(key), Gossip: echoHandler{}}).Serve(ctx, l)
 	}()
 	return l.Addr().String(), func() {
 		cancel()
@@ -225,7 +225,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
 	go func() {
-		done <- NewServer(ServerConfig{Instance: "server", Key: []byte("key"), Handler: echoHandler{}}).Serve(ctx, l)
+		done <- NewServer(ServerConfig{Instance: "server", Key: []byte("key"), Gossip: echoHandler{}}).Serve(ctx, l)
 	}()
 	if _, err := c.Digest(t.Context(), target, &peerapi.Digest{Instance: "client"}); err != nil {
 		t.Errorf("the call after the peer has started again: %v", err)
--- a/entry/peer/progress.go
+++ b/entry/peer/progress.go
@@ -38,7 +38,7 @@
 	return n, err
 }
 
-// untilSilent returns a context that ends with a SilenceError when no byte comes in for a
+// untilSilent returns a context that ends with an IdleTimeoutError when no byte comes in for a
 // time. Release it after the call.
 func (l *link) untilSilent(ctx context.Context, silence time.Duration) (_ context.Context, release func()) {
 	ctx, cancel := context.WithCancelCause(ctx)
@@ -54,7 +54,7 @@
 			}
 			in := l.bytes.in.Load()
 			if in == seen {
-				cancel(&SilenceError{For: silence})
+				cancel(&IdleTimeoutError{Timeout: silence})
 				return
 			}
 			seen = in
--- a/entry/peer/progress_test.go
+++ b/entry/peer/progress_test.go
@@ -44,7 +44,7 @@
 		go func() {
 			served <- NewServer(ServerConfig{Instance: "server", Key: []byte("key"), Sync: syncHandler{}}).Serve(ctx, listener)
 		}()
-		c := NewClient(ClientConfig{Instance: "client", Key: []byte("key"), Silence: 250 * time.Millisecond, Dial: func(ctx context.Context, address string) (net.Conn, error) {
+		c := NewClient(ClientConfig{Instance: "client", Key: []byte("key"), SyncIdleTimeout: 250 * time.Millisecond, Dial: func(ctx context.Context, address string) (net.Conn, error) {
 			conn, err := network.Dial(ctx, address)
 			return &narrowLink{conn}, err
 		}})
@@ -69,7 +69,7 @@
 		defer release()
 		begin := time.Now()
 		<-ctx.Done()
-		var silence *SilenceError
+		var silence *IdleTimeoutError
 		if took := time.Since(begin); took != time.Second || !errors.As(context.Cause(ctx), &silence) {
 			t.Errorf("ended after %v by %v", took, context.Cause(ctx))
 		}
--- a/entry/peer/server.go
+++ b/entry/peer/server.go
@@ -23,8 +23,8 @@
 // maxConnections bounds the connections that are served at once.
 const maxConnections = 1024
 
-// Handler answers the calls of proved peers. It is called by many goroutines.
-type Handler interface {
+// GossipHandler answers the calls of proved peers. It is called by many goroutines.
+type GossipHandler interface {
 	// Digest takes a peer's digest and gives this instance's.
 	Digest(from string, d *peerapi.Digest) *peerapi.Digest
 	// Document gives the document in force, if it is newer than above.
@@ -37,27 +37,27 @@
 	Sync(from string, r peerapi.SyncRequest) *peerapi.SyncReply
 }
 
-// Rest waits for the next reply of a run and says whether more may come.
-type Rest func(ctx context.Context) (reply *peerapi.ForwardReply, going bool)
+// NextReplyFunc waits for the next reply of a run and says whether more may come.
+type NextReplyFunc func(ctx context.Context) (reply *peerapi.ForwardReply, going bool)
 
 // ForwardHandler runs requests that other instances hand over.
 type ForwardHandler interface {
 	// Offer says why a request would not be run here, "" when it would. It runs
 	// nothing.
 	Offer(from string, r *peerapi.ForwardRequest) (declined string)
-	// RunOffered runs a request that was offered before. Rest, if it is not nil, gives
-	// what comes after the reply; the run goes on until Rest says that nothing does, or
+	// RunOffered runs a request that was offered before. rest, if it is not nil, gives
+	// what comes after the reply; the run goes on until rest says that nothing does, or
 	// the context ends.
-	RunOffered(ctx context.Context, r *peerapi.ForwardRequest) (reply *peerapi.ForwardReply, rest Rest)
+	RunOffered(ctx context.Context, r *peerapi.ForwardRequest) (reply *peerapi.ForwardReply, rest NextReplyFunc)
 }
 
 // ServerConfig says who the server is.
 type ServerConfig struct {
 	Instance string
 	Key      []byte // the entries' shared secret
-	// Handler answers the calls of instances that spread their own document;
+	// Gossip answers the calls of instances that spread their own document;
 	// nil where there is none.
-	Handler Handler
+	Gossip GossipHandler
 	// Sync answers questions about the platform's store; nil where none are.
 	Sync SyncHandler
 	// Forward runs requests that are handed over; nil where none are.
@@ -201,7 +201,7 @@
 
 // call answers a proved peer.
 func (s *session) call(from string, req *jsonrpc2.Request) (any, error) {
-	handler, sync := s.server.config.Handler, s.server.config.Sync
+	handler, sync := s.server.config.Gossip, s.server.config.Sync
 	switch {
 	case req.Method == peerapi.MethodSync && sync != nil:
 		var r peerapi.SyncRequest
