--- a/entry/peer/codec.go
+++ b/entry/peer/codec.go
@@ -11,24 +11,25 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// quietly keeps the library from writing to the standard logger: what goes
-// wrong on a connection shows in the errors of the calls on it.
-var quietly = jsonrpc2.SetLogger(log.New(io.Discard, "", 0))
+// discardLogs keeps the jsonrpc2 library from writing to the standard logger: the
+// errors of the calls report what fails on a connection.
+var discardLogs = jsonrpc2.SetLogger(log.New(io.Discard, "", 0))
 
-// maxMessage bounds one message, in bytes: a document of the largest size fits.
-const maxMessage = 2 << 20
+// maxMessageBytes bounds one message. A document of the largest size fits.
+const maxMessageBytes = 2 << 20
 
-// boundedCodec frames each JSON-RPC message by its length, so that a peer can't
-// make this instance hold more than maxMessage. It implements jsonrpc2.ObjectCodec.
+// boundedCodec is a jsonrpc2.ObjectCodec that prefixes each message with its length
+// in 4 bytes, big endian. It refuses a message longer than maxMessageBytes before
+// reading it, so that a peer can't make this instance allocate more.
 type boundedCodec struct{}
 
-// WriteObject writes one message.
+// WriteObject implements jsonrpc2.ObjectCodec.
 func (boundedCodec) WriteObject(w io.Writer, obj any) error {
 	data, err := json.Marshal(obj)
 	if err != nil {
 		return fmt.Errorf("encode a peer message: %w", err)
 	}
-	if len(data) > maxMessage {
+	if len(data) > maxMessageBytes {
 		return &SizeError{Bytes: len(data)}
 	}
 	frame := make([]byte, 0, 4+len(data))
@@ -37,14 +38,14 @@
 	return err
 }
 
-// ReadObject reads one message.
+// ReadObject implements jsonrpc2.ObjectCodec.
 func (boundedCodec) ReadObject(r *bufio.Reader, v any) error {
 	var head [4]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
 		return err
 	}
 	size := binary.BigEndian.Uint32(head[:])
-	if size > maxMessage {
+	if size > maxMessageBytes {
 		return &SizeError{Bytes: int(size)}
 	}
 	data := make([]byte, size)
--- a/entry/peer/errors.go
+++ b/entry/peer/errors.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// SizeError says that a message is over the bound.
+// SizeError says that a message is longer than maxMessageBytes.
 type SizeError struct{ Bytes int }
 
 // Error implements error.
 func (e *SizeError) Error() string {
-	return fmt.Sprintf("peer message of %d bytes, at most %d are taken", e.Bytes, maxMessage)
+	return fmt.Sprintf("peer message of %d bytes exceeds the limit of %d bytes", e.Bytes, maxMessageBytes)
 }
 
 // AuthError says that the other side did not prove that it knows the key, or
@@ -20,7 +20,8 @@
 // Error implements error.
 func (e *AuthError) Error() string { return fmt.Sprintf("peer %s: %s", e.Address, e.Reason) }
 
-// UnreachableError says that a call got no answer.
+// UnreachableError says that a call to a peer failed; Method is "dial" if no
+// connection was opened.
 type UnreachableError struct {
 	Address string
 	Method  string
@@ -35,8 +36,8 @@
 // Unwrap gives the cause.
 func (e *UnreachableError) Unwrap() error { return e.Err }
 
-// IdleTimeoutError says that no byte of a reply came in for a time.
+// IdleTimeoutError says that no byte was received for Timeout.
 type IdleTimeoutError struct{ Timeout time.Duration }
 
 // Error implements error.
-func (e *IdleTimeoutError) Error() string { return fmt.Sprintf("silent for %v", e.Timeout) }
+func (e *IdleTimeoutError) Error() string { return fmt.Sprintf("no data received for %v", e.Timeout) }
--- a/entry/peer/forward.go
+++ b/entry/peer/forward.go
@@ -11,27 +11,27 @@
 	"github.com/fuchsiaroad/fuchsiaroad/api/peerapi"
 )
 
-// A request is handed over in two calls: an offer, by which nothing is run, and
-// the word to run it. Whoever offers may therefore give up on a peer that is slow
-// to answer and run the request itself: it is never run twice. With one call and
-// a word back that it was accepted, a peer without processor time ran requests
-// that had been given up, on more leaves than their route allows.
+// A request is forwarded in two calls: Offer, which runs nothing, and Run. The
+// client may therefore give up on a peer that is slow to answer the offer and run
+// the request itself, without the request running twice. With a single call that the
+// peer acknowledged on acceptance, a peer short of processor time ran requests that
+// their client had given up, on more leaves than their route allows.
 
-// mostOffers bounds the offers that wait on one connection; an older one than
-// offerTime is dropped for a new one.
 const (
-	mostOffers = 1024
-	offerTime  = 5 * time.Second
+	// maxPendingOffers bounds the offers of one connection that wait for Run.
+	maxPendingOffers = 1024
+	// offerLifetime is the time after which an offer without Run is dropped.
+	offerLifetime = 5 * time.Second
 )
 
-// offer keeps a request that a peer offers, unless it is declined.
+// offer stores an offered request, unless it is declined.
 func (s *session) offer(from string, req *jsonrpc2.Request) (any, error) {
 	handler := s.server.config.Forward
 	if handler == nil {
 		return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeMethodNotFound, Message: "no such method"}
 	}
 	var r peerapi.ForwardRequest
-	if err := params(req, &r); err != nil {
+	if err := decodeParams(req, &r); err != nil {
 		return nil, err
 	}
 	if declined := handler.Offer(from, &r); declined != "" {
@@ -39,16 +39,16 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.offers == nil || len(s.offers) >= mostOffers {
+	if s.offers == nil || len(s.offers) >= maxPendingOffers {
 		return peerapi.OfferReply{Declined: "too many offers"}, nil
 	}
 	s.offers[r.ID] = &r
-	time.AfterFunc(offerTime, func() { s.take(r.ID) })
+	time.AfterFunc(offerLifetime, func() { s.takeOffer(r.ID) })
 	return peerapi.OfferReply{}, nil
 }
 
-// take removes an offer and returns it, or nil.
-func (s *session) take(id uint64) *peerapi.ForwardRequest {
+// takeOffer removes an offer and returns it, or nil if there is none.
+func (s *session) takeOffer(id uint64) *peerapi.ForwardRequest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r := s.offers[id]
@@ -56,124 +56,126 @@
 	return r
 }
 
-// run runs what was offered. It ends with the connection.
-func (s *session) run(ctx context.Context, req *jsonrpc2.Request) (any, error) {
+// runOffered runs an offered request. The run ends when the connection closes.
+func (s *session) runOffered(ctx context.Context, req *jsonrpc2.Request) (any, error) {
 	var id peerapi.ForwardID
-	if err := params(req, &id); err != nil {
+	if err := decodeParams(req, &id); err != nil {
 		return nil, err
 	}
-	r := s.take(id.ID)
+	r := s.takeOffer(id.ID)
 	if r == nil {
 		return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeInvalidRequest, Message: "no such offer"}
 	}
-	in := &running{}
-	in.ctx, in.cancel = context.WithCancel(ctx)
-	if !s.begin(id.ID, in) {
-		in.cancel()
+	run := &activeRun{}
+	run.ctx, run.cancel = context.WithCancel(ctx)
+	if !s.addRun(id.ID, run) {
+		run.cancel()
 		return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeInvalidRequest, Message: "the connection has ended"}
 	}
-	reply, rest := s.server.config.Forward.RunOffered(in.ctx, r)
-	if in.ctx.Err() != nil {
-		s.end(id.ID)
-		return nil, errEnded()
+	reply, next := s.server.config.Forward.RunOffered(run.ctx, r)
+	if run.ctx.Err() != nil {
+		s.endRun(id.ID)
+		return nil, newRunEndedError()
 	}
-	if rest == nil {
-		s.end(id.ID)
+	if next == nil {
+		s.endRun(id.ID)
 		return reply, nil
 	}
 	s.mu.Lock()
-	in.rest = rest
+	run.next = next
 	s.mu.Unlock()
-	time.AfterFunc(time.Duration(r.LeftUS)*time.Microsecond, func() { s.end(id.ID) })
+	time.AfterFunc(time.Duration(r.LeftUS)*time.Microsecond, func() { s.endRun(id.ID) })
 	return reply, nil
 }
 
-// errEnded answers for a run that was ended: it has no answer of its own to give, and what
-// the end of this instance cut off must not look whole.
-func errEnded() error {
+// newRunEndedError returns the error reply for a run that was canceled or cut short
+// by the stop of this instance. Its reply may be partial and must not pass for a
+// complete one.
+func newRunEndedError() error {
 	return &jsonrpc2.Error{Code: jsonrpc2.CodeInternalError, Message: "the run was ended"}
 }
 
-// running is a request in progress.
-type running struct {
-	ctx    context.Context // of the run, which outlives a call where there is a rest
+// activeRun is a forwarded request in progress.
+type activeRun struct {
+	ctx    context.Context // outlives the Run call if more replies follow
 	cancel context.CancelFunc
-	rest   NextReplyFunc // nil until the first reply
+	next   NextReplyFunc // nil until the first reply has been returned
 }
 
-// rest waits for what a run brings after its first reply.
-func (s *session) rest(req *jsonrpc2.Request) (any, error) {
+// nextReply waits for the reply of a run that follows the previous one.
+func (s *session) nextReply(req *jsonrpc2.Request) (any, error) {
 	var id peerapi.ForwardID
-	if err := params(req, &id); err != nil {
+	if err := decodeParams(req, &id); err != nil {
 		return nil, err
 	}
-	in, rest := s.goesOn(id.ID)
-	if rest == nil {
+	run, next := s.findContinuingRun(id.ID)
+	if next == nil {
 		return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeInvalidRequest, Message: "no such run"}
 	}
-	reply, going := rest(in.ctx)
-	if in.ctx.Err() != nil {
-		return nil, errEnded()
+	reply, more := next(run.ctx)
+	if run.ctx.Err() != nil {
+		return nil, newRunEndedError()
 	}
-	if !going {
-		s.end(id.ID)
+	if !more {
+		s.endRun(id.ID)
 	}
 	return reply, nil
 }
 
-// goesOn finds a run that has given its first reply; rest is nil without one.
-func (s *session) goesOn(id uint64) (in *running, rest NextReplyFunc) {
+// findContinuingRun returns a run that has returned its first reply; next is nil if
+// there is none.
+func (s *session) findContinuingRun(id uint64) (run *activeRun, next NextReplyFunc) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if in = s.running[id]; in == nil {
+	if run = s.running[id]; run == nil {
 		return nil, nil
 	}
-	return in, in.rest
+	return run, run.next
 }
 
-// begin notes a request in progress.
-func (s *session) begin(id uint64, in *running) bool {
+// addRun registers a run. It returns false if the connection is closed.
+func (s *session) addRun(id uint64, run *activeRun) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.running == nil {
 		return false
 	}
-	s.running[id] = in
+	s.running[id] = run
 	return true
 }
 
-// end ends it.
-func (s *session) end(id uint64) {
+// endRun cancels and removes a run, if there is one.
+func (s *session) endRun(id uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if in := s.running[id]; in != nil {
-		in.cancel()
+	if run := s.running[id]; run != nil {
+		run.cancel()
 	}
 	delete(s.running, id)
 }
 
-// cancel ends a request whose client has gone.
-func (s *session) cancel(req *jsonrpc2.Request) (any, error) {
+// cancelRequest drops the offer or ends the run of a request that its client canceled.
+func (s *session) cancelRequest(req *jsonrpc2.Request) (any, error) {
 	var id peerapi.ForwardID
-	if err := params(req, &id); err != nil {
+	if err := decodeParams(req, &id); err != nil {
 		return nil, err
 	}
-	s.take(id.ID)
-	s.end(id.ID)
+	s.takeOffer(id.ID)
+	s.endRun(id.ID)
 	return struct{}{}, nil
 }
 
-// cancelAll ends all requests of a connection that has ended.
+// cancelAll ends all runs and drops all offers when the connection has closed.
 func (s *session) cancelAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, in := range s.running {
-		in.cancel()
+	for _, run := range s.running {
+		run.cancel()
 	}
 	s.offers, s.running = nil, nil
 }
 
-// NotAcceptedError says that a peer did not take a request over, and will not run it.
+// NotAcceptedError says that a peer did not accept a request and will not run it.
 type NotAcceptedError struct {
 	Address string
 	Err     error
@@ -181,73 +183,79 @@
 
 // Error implements error.
 func (e *NotAcceptedError) Error() string {
-	return fmt.Sprintf("peer %s did not take the request over: %v", e.Address, e.Err)
+	return fmt.Sprintf("peer %s did not accept the request: %v", e.Address, e.Err)
 }
 
 // Unwrap gives the cause.
 func (e *NotAcceptedError) Unwrap() error { return e.Err }
 
-// DeclinedError is a peer's word that it does not run a request.
+// DeclinedError says that a peer declined a request, with the peer's reason.
 type DeclinedError struct{ Reason string }
 
 // Error implements error.
 func (e *DeclinedError) Error() string { return "declined: " + e.Reason }
 
-// OfferOptions is how a peer takes a request over.
+// OfferOptions says how long to wait for a peer to accept a request, and whether it
+// still is to run then.
 type OfferOptions struct {
-	// Timeout is the time that it may take to accept, counted while this instance runs.
+	// Timeout is the time that the peer has to accept. A stall of this process
+	// doesn't use it up.
 	Timeout time.Duration
-	// Confirm is called when it has, before the word to run goes out, which does
-	// not if it returns false; nil: it always goes out.
+	// Confirm is called when the peer has accepted, before Run is sent. If it
+	// returns false, Run isn't sent and the request doesn't run. Nil means true.
 	Confirm func() bool
 }
 
-// ErrRecalled is the cause of a NotAcceptedError where the word to run was not given.
+// ErrRecalled is the cause of a NotAcceptedError when OfferOptions.Confirm returned
+// false.
 var ErrRecalled = errors.New("recalled before it ran")
 
-// Forward hands a request over to a peer. The error is a *NotAcceptedError, or says
-// that the peer was lost after it had accepted: the request may have run then.
-func (c *Client) Forward(ctx context.Context, t Target, r *peerapi.ForwardRequest, a OfferOptions) (*peerapi.ForwardReply, error) {
-	r.ID = c.lastOffer.Add(1)
-	if err := c.offer(ctx, t, r, a.Timeout); err != nil {
+// Forward forwards a request to a peer and returns its first reply. The error is a
+// *NotAcceptedError if the request hasn't run, or an *UnreachableError if the call
+// failed after the peer had accepted, when the request may have run.
+func (c *Client) Forward(ctx context.Context, t Target, r *peerapi.ForwardRequest, o OfferOptions) (*peerapi.ForwardReply, error) {
+	r.ID = c.lastRequestID.Add(1)
+	if err := c.offer(ctx, t, r, o.Timeout); err != nil {
 		return nil, &NotAcceptedError{Address: t.Address, Err: err}
 	}
-	if a.Confirm != nil && !a.Confirm() {
+	if o.Confirm != nil && !o.Confirm() {
 		return nil, &NotAcceptedError{Address: t.Address, Err: ErrRecalled}
 	}
-	conn, err := c.conn(ctx, t)
+	conn, err := c.getConn(ctx, t)
 	if err != nil {
 		return nil, &NotAcceptedError{Address: t.Address, Err: err}
 	}
-	return c.follow(ctx, conn, t, peerapi.MethodRun, r.ID)
+	return c.awaitReply(ctx, conn, t, peerapi.MethodRun, r.ID)
 }
 
-// NextReply waits for what a run brings after its first reply. It ends the run where the
-// context ends first.
+// NextReply waits for the reply of a run that follows the previous one. It ends the
+// run if ctx ends first.
 func (c *Client) NextReply(ctx context.Context, t Target, id uint64) (*peerapi.ForwardReply, error) {
-	conn, err := c.conn(ctx, t)
+	conn, err := c.getConn(ctx, t)
 	if err != nil {
 		return nil, &UnreachableError{Address: t.Address, Method: peerapi.MethodRest, Err: err}
 	}
-	return c.follow(ctx, conn, t, peerapi.MethodRest, id)
+	return c.awaitReply(ctx, conn, t, peerapi.MethodRest, id)
 }
 
-// follow calls for a reply of a run, and ends the run if none comes.
-func (c *Client) follow(ctx context.Context, conn *link, t Target, method string, id uint64) (*peerapi.ForwardReply, error) {
+// awaitReply calls a method that returns a reply of a run, and cancels the run if the
+// call fails.
+func (c *Client) awaitReply(ctx context.Context, conn *peerConn, t Target, method string, id uint64) (*peerapi.ForwardReply, error) {
 	var reply peerapi.ForwardReply
 	if err := conn.Call(ctx, method, peerapi.ForwardID{ID: id}, &reply); err != nil {
-		c.cancelForward(conn, id)
+		c.sendCancel(conn, id)
 		return nil, &UnreachableError{Address: t.Address, Method: method, Err: err}
 	}
 	return &reply, nil
 }
 
-// offer makes the first call, and ends it after a time with context.DeadlineExceeded.
-func (c *Client) offer(ctx context.Context, t Target, r *peerapi.ForwardRequest, within time.Duration) error {
-	ctx, release := withRunningTime(ctx, within)
+// offer makes the Offer call. It returns context.DeadlineExceeded if the peer hasn't
+// answered within timeout.
+func (c *Client) offer(ctx context.Context, t Target, r *peerapi.ForwardRequest, timeout time.Duration) error {
+	ctx, release := withStallTolerantTimeout(ctx, timeout)
 	defer release()
 	var reply peerapi.OfferReply
-	conn, err := c.conn(ctx, t)
+	conn, err := c.getConn(ctx, t)
 	if err == nil {
 		err = conn.Call(ctx, peerapi.MethodOffer, r, &reply)
 	}
@@ -263,9 +271,9 @@
 	return nil
 }
 
-// cancelForward tells a peer that nobody waits for a request any more. It does
-// not wait for the word to arrive; a connection that is lost says as much.
-func (c *Client) cancelForward(conn *link, id uint64) {
+// sendCancel tells a peer in the background to cancel a request. It ignores a failure:
+// the peer cancels the requests of a closed connection itself.
+func (c *Client) sendCancel(conn *peerConn, id uint64) {
 	go func() {
 		_ = conn.Notify(context.Background(), peerapi.MethodCancel, peerapi.ForwardID{ID: id})
 	}()
--- a/entry/peer/forward_test.go
+++ b/entry/peer/forward_test.go
@@ -11,26 +11,27 @@
 	"github.com/fuchsiaroad/fuchsiaroad/api/peerapi"
 )
 
-// forwarder runs what is handed over by functions of the test.
-type forwarder struct {
-	offered func() (declined string)
-	run     func(ctx context.Context, r *peerapi.ForwardRequest) *peerapi.ForwardReply
-	rest    NextReplyFunc
+// fakeForwarder is a ForwardHandler made of functions of the test.
+type fakeForwarder struct {
+	offer func() (declined string)
+	run   func(ctx context.Context, r *peerapi.ForwardRequest) *peerapi.ForwardReply
+	next  NextReplyFunc
 }
 
-func (f forwarder) Offer(string, *peerapi.ForwardRequest) string {
-	if f.offered == nil {
+func (f fakeForwarder) Offer(string, *peerapi.ForwardRequest) string {
+	if f.offer == nil {
 		return ""
 	}
-	return f.offered()
+	return f.offer()
 }
 
-func (f forwarder) RunOffered(ctx context.Context, r *peerapi.ForwardRequest) (*peerapi.ForwardReply, NextReplyFunc) {
-	return f.run(ctx, r), f.rest
+func (f fakeForwarder) RunOffered(ctx context.Context, r *peerapi.ForwardRequest) (*peerapi.ForwardReply, NextReplyFunc) {
+	return f.run(ctx, r), f.next
 }
 
-// pair starts a server that runs what is handed over, and a client of it.
-func pair(t *testing.T, f forwarder) (*Client, Target, context.CancelFunc) {
+// startPair starts a server with the handler and returns a client for it, the
+// server's target and the function that stops the server.
+func startPair(t *testing.T, f fakeForwarder) (*Client, Target, context.CancelFunc) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -51,13 +52,13 @@
 	return c, Target{Instance: "server", Address: l.Addr().String()}, cancel
 }
 
-// long is a time that no step of these tests takes.
-const long = 20 * time.Second
+// ample is a timeout that no step of these tests reaches.
+const ample = 20 * time.Second
 
-// TestForward hands a request over while another is still running.
-func TestForward(t *testing.T) {
+// TestForwardRunsConcurrently forwards a request while another is still running.
+func TestForwardRunsConcurrently(t *testing.T) {
 	release := make(chan struct{})
-	c, target, _ := pair(t, forwarder{run: func(_ context.Context, r *peerapi.ForwardRequest) *peerapi.ForwardReply {
+	c, target, _ := startPair(t, fakeForwarder{run: func(_ context.Context, r *peerapi.ForwardRequest) *peerapi.ForwardReply {
 		if r.Request == "slow" {
 			<-release
 		}
@@ -65,10 +66,10 @@
 	}})
 	slow := make(chan error, 1)
 	go func() {
-		_, err := c.Forward(t.Context(), target, &peerapi.ForwardRequest{Request: "slow"}, OfferOptions{Timeout: long})
+		_, err := c.Forward(t.Context(), target, &peerapi.ForwardRequest{Request: "slow"}, OfferOptions{Timeout: ample})
 		slow <- err
 	}()
-	reply, err := c.Forward(t.Context(), target, &peerapi.ForwardRequest{Request: "fast", Version: 7}, OfferOptions{Timeout: long})
+	reply, err := c.Forward(t.Context(), target, &peerapi.ForwardRequest{Request: "fast", Version: 7}, OfferOptions{Timeout: ample})
 	if err != nil || string(reply.Body) != "fast" || reply.Version != 7 {
 		t.Errorf("reply %+v, %v", reply, err)
 	}
@@ -78,8 +79,8 @@
 	}
 }
 
-// TestForwardNotAccepted offers a request to peers that are silent, decline or are
-// not there: none of them runs it, also not when the silent one wakes.
+// TestForwardNotAccepted offers a request to peers that don't answer, decline or
+// don't exist. None of them runs it, not even when the silent one answers late.
 func TestForwardNotAccepted(t *testing.T) {
 	var ran atomic.Int64
 	run := func(context.Context, *peerapi.ForwardRequest) *peerapi.ForwardReply {
@@ -87,7 +88,7 @@
 		return &peerapi.ForwardReply{}
 	}
 	wake, awake := make(chan struct{}), make(chan struct{})
-	silent, silentTarget, _ := pair(t, forwarder{run: run, offered: func() string {
+	silent, silentTarget, _ := startPair(t, fakeForwarder{run: run, offer: func() string {
 		<-wake
 		defer close(awake)
 		return ""
@@ -98,25 +99,25 @@
 	}
 	close(wake)
 	<-awake
-	declining, target, _ := pair(t, forwarder{run: run, offered: func() string { return "older configuration" }})
+	declining, target, _ := startPair(t, fakeForwarder{run: run, offer: func() string { return "older configuration" }})
 	var declined *DeclinedError
-	if _, err := declining.Forward(t.Context(), target, &peerapi.ForwardRequest{}, OfferOptions{Timeout: long}); !errors.As(err, &notAccepted) || !errors.As(err, &declined) {
+	if _, err := declining.Forward(t.Context(), target, &peerapi.ForwardRequest{}, OfferOptions{Timeout: ample}); !errors.As(err, &notAccepted) || !errors.As(err, &declined) {
 		t.Errorf("a peer that declines: %v, want a NotAcceptedError with its reason", err)
 	}
 	if _, err := declining.Forward(t.Context(), Target{Instance: "none", Address: "127.0.0.1:1"}, &peerapi.ForwardRequest{}, OfferOptions{Timeout: time.Second}); !errors.As(err, &notAccepted) {
 		t.Errorf("no peer: %v, want a NotAcceptedError", err)
 	}
 	if n := ran.Load(); n != 0 {
-		t.Errorf("%d requests ran that nobody took over", n)
+		t.Errorf("%d requests ran without being accepted", n)
 	}
 }
 
-// TestForwardCancelled ends the run when the client goes, and the client's wait
-// when the server does.
-func TestForwardCancelled(t *testing.T) {
+// TestForwardEndsWithEitherSide checks that a run ends when its client cancels, and
+// that the client's call ends when the server stops.
+func TestForwardEndsWithEitherSide(t *testing.T) {
 	started := make(chan struct{}, 2)
 	ended := make(chan struct{}, 2)
-	c, target, stop := pair(t, forwarder{run: func(ctx context.Context, _ *peerapi.ForwardRequest) *peerapi.ForwardReply {
+	c, target, stop := startPair(t, fakeForwarder{run: func(ctx context.Context, _ *peerapi.ForwardRequest) *peerapi.ForwardReply {
 		started <- struct{}{}
 		<-ctx.Done()
 		ended <- struct{}{}
@@ -125,7 +126,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
 	forward := func(ctx context.Context) {
-		_, err := c.Forward(ctx, target, &peerapi.ForwardRequest{}, OfferOptions{Timeout: long})
+		_, err := c.Forward(ctx, target, &peerapi.ForwardRequest{}, OfferOptions{Timeout: ample})
 		done <- err
 	}
 	go forward(ctx)
@@ -133,7 +134,7 @@
 	cancel()
 	<-ended
 	if err := <-done; err == nil {
-		t.Error("no error after the client has gone")
+		t.Error("no error after the client canceled")
 	}
 	go forward(t.Context())
 	<-started
@@ -141,63 +142,63 @@
 	<-ended
 	var lost *UnreachableError
 	if err := <-done; !errors.As(err, &lost) {
-		t.Errorf("after the server has gone: %v, want an UnreachableError", err)
+		t.Errorf("after the server stopped: %v, want an UnreachableError", err)
 	}
 }
 
-// TestForwardGoesOn takes what a run brings after its first reply, and ends one of
-// which no more is needed.
-func TestForwardGoesOn(t *testing.T) {
-	later := make(chan struct{})
+// TestForwardWithSeveralReplies reads the reply that follows the first one, and
+// cancels the wait for such a reply, which ends the run.
+func TestForwardWithSeveralReplies(t *testing.T) {
+	lastReply := make(chan struct{})
 	ended := make(chan struct{})
-	c, target, _ := pair(t, forwarder{
+	c, target, _ := startPair(t, fakeForwarder{
 		run: func(ctx context.Context, _ *peerapi.ForwardRequest) *peerapi.ForwardReply {
 			context.AfterFunc(ctx, func() { ended <- struct{}{} })
 			return &peerapi.ForwardReply{Body: []byte("first")}
 		},
-		rest: func(ctx context.Context) (*peerapi.ForwardReply, bool) {
+		next: func(ctx context.Context) (*peerapi.ForwardReply, bool) {
 			select {
-			case <-later:
+			case <-lastReply:
 				return &peerapi.ForwardReply{Body: []byte("last")}, false
 			case <-ctx.Done():
 				return &peerapi.ForwardReply{}, false
 			}
 		},
 	})
-	begin := func() *peerapi.ForwardRequest {
-		r := &peerapi.ForwardRequest{LeftUS: long.Microseconds()}
-		if reply, err := c.Forward(t.Context(), target, r, OfferOptions{Timeout: long}); err != nil || string(reply.Body) != "first" {
+	start := func() *peerapi.ForwardRequest {
+		r := &peerapi.ForwardRequest{LeftUS: ample.Microseconds()}
+		if reply, err := c.Forward(t.Context(), target, r, OfferOptions{Timeout: ample}); err != nil || string(reply.Body) != "first" {
 			t.Fatalf("first reply %+v, %v", reply, err)
 		}
 		return r
 	}
-	whole := begin()
-	go func() { later <- struct{}{} }()
-	if reply, err := c.NextReply(t.Context(), target, whole.ID); err != nil || string(reply.Body) != "last" {
+	completed := start()
+	go func() { lastReply <- struct{}{} }()
+	if reply, err := c.NextReply(t.Context(), target, completed.ID); err != nil || string(reply.Body) != "last" {
 		t.Fatalf("last reply %+v, %v", reply, err)
 	}
 	<-ended
 	var lost *UnreachableError
-	if _, err := c.NextReply(t.Context(), target, whole.ID); !errors.As(err, &lost) {
-		t.Errorf("the rest of a run that has ended: %v, want an UnreachableError", err)
+	if _, err := c.NextReply(t.Context(), target, completed.ID); !errors.As(err, &lost) {
+		t.Errorf("the next reply of a run that has ended: %v, want an UnreachableError", err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
-	left := begin()
+	canceled := start()
 	time.AfterFunc(10*time.Millisecond, cancel)
-	if _, err := c.NextReply(ctx, target, left.ID); !errors.As(err, &lost) {
-		t.Errorf("a rest that nobody needs: %v, want an UnreachableError", err)
+	if _, err := c.NextReply(ctx, target, canceled.ID); !errors.As(err, &lost) {
+		t.Errorf("a canceled wait for the next reply: %v, want an UnreachableError", err)
 	}
 	<-ended
 }
 
-// TestRecalledIsNotRun takes the word to run back after the offer was accepted.
-func TestRecalledIsNotRun(t *testing.T) {
-	c, target, _ := pair(t, forwarder{run: func(context.Context, *peerapi.ForwardRequest) *peerapi.ForwardReply {
-		t.Error("a request ran that was recalled")
+// TestUnconfirmedRequestDoesNotRun has Confirm return false after the peer accepted.
+func TestUnconfirmedRequestDoesNotRun(t *testing.T) {
+	c, target, _ := startPair(t, fakeForwarder{run: func(context.Context, *peerapi.ForwardRequest) *peerapi.ForwardReply {
+		t.Error("a recalled request ran")
 		return &peerapi.ForwardReply{}
 	}})
 	var notAccepted *NotAcceptedError
-	_, err := c.Forward(t.Context(), target, &peerapi.ForwardRequest{}, OfferOptions{Timeout: long, Confirm: func() bool { return false }})
+	_, err := c.Forward(t.Context(), target, &peerapi.ForwardRequest{}, OfferOptions{Timeout: ample, Confirm: func() bool { return false }})
 	if !errors.As(err, &notAccepted) || !errors.Is(err, ErrRecalled) {
 		t.Errorf("%v, want a NotAcceptedError for ErrRecalled", err)
 	}
--- a/entry/peer/progress_test.go
+++ b/entry/peer/idle_timeout_test.go
@@ -13,17 +13,17 @@
 	"github.com/fuchsiaroad/fuchsiaroad/entry/peer/peertest"
 )
 
-// narrowLink lets chunkSize bytes through each chunkEvery.
-type narrowLink struct{ net.Conn }
+// slowConn receives at most chunkSize bytes per chunkInterval.
+type slowConn struct{ net.Conn }
 
 const (
-	chunkSize  = 4 << 10
-	chunkEvery = 50 * time.Millisecond
+	chunkSize     = 4 << 10
+	chunkInterval = 50 * time.Millisecond
 )
 
-func (l *narrowLink) Read(b []byte) (int, error) {
-	time.Sleep(chunkEvery)
-	return l.Conn.Read(b[:min(len(b), chunkSize)])
+func (c *slowConn) Read(b []byte) (int, error) {
+	time.Sleep(chunkInterval)
+	return c.Conn.Read(b[:min(len(b), chunkSize)])
 }
 
 // syncHandler answers with a large configuration.
@@ -33,9 +33,9 @@
 	return &peerapi.SyncReply{Config: bytes.Repeat([]byte("x"), 16*chunkSize)}
 }
 
-// TestLargeReplyOverAFullLinkIsNotCutOff takes a reply of more than a second where a silence of a
-// quarter of one ends the call.
-func TestLargeReplyOverAFullLinkIsNotCutOff(t *testing.T) {
+// TestLargeReplyOverSlowConnectionCompletes receives a reply for more than a second under
+// an idle timeout of a quarter of a second.
+func TestLargeReplyOverSlowConnectionCompletes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		network := &peertest.Network{}
@@ -46,7 +46,7 @@
 		}()
 		c := NewClient(ClientConfig{Instance: "client", Key: []byte("key"), SyncIdleTimeout: 250 * time.Millisecond, Dial: func(ctx context.Context, address string) (net.Conn, error) {
 			conn, err := network.Dial(ctx, address)
-			return &narrowLink{conn}, err
+			return &slowConn{conn}, err
 		}})
 		reply, err := c.Sync(ctx, Target{Instance: "server", Address: listener.Addr().String()}, peerapi.SyncRequest{})
 		if err != nil || len(reply.Config) != 16*chunkSize {
@@ -57,41 +57,42 @@
 		if err := <-served; err != nil {
 			t.Error(err)
 		}
-		time.Sleep(2 * chunkEvery) // the last read of the link
+		time.Sleep(2 * chunkInterval) // for the last read of slowConn
 	})
 }
 
-// TestSilentPeerEndsSync takes a peer that accepts and never answers.
-func TestSilentPeerEndsSync(t *testing.T) {
+// TestIdleTimeoutEndsContext has a connection that never receives a byte.
+func TestIdleTimeoutEndsContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := &link{bytes: &countedConn{}}
-		ctx, release := l.untilSilent(t.Context(), time.Second)
+		l := &peerConn{counter: &countingConn{}}
+		ctx, release := l.withIdleTimeout(t.Context(), time.Second)
 		defer release()
 		begin := time.Now()
 		<-ctx.Done()
-		var silence *IdleTimeoutError
-		if took := time.Since(begin); took != time.Second || !errors.As(context.Cause(ctx), &silence) {
+		var idle *IdleTimeoutError
+		if took := time.Since(begin); took != time.Second || !errors.As(context.Cause(ctx), &idle) {
 			t.Errorf("ended after %v by %v", took, context.Cause(ctx))
 		}
 	})
 }
 
-// lossyLink loses all that is written after the first message.
-type lossyLink struct {
+// lossyConn drops all writes after the first message.
+type lossyConn struct {
 	net.Conn
 	written bool
 }
 
-func (l *lossyLink) Write(b []byte) (int, error) {
-	if l.written {
+func (c *lossyConn) Write(b []byte) (int, error) {
+	if c.written {
 		return len(b), nil
 	}
-	l.written = true
-	return l.Conn.Write(b)
+	c.written = true
+	return c.Conn.Write(b)
 }
 
-// TestSilenceDuringProofIsNoRefusal loses the proof on its way: the peer has refused nothing.
-func TestSilenceDuringProofIsNoRefusal(t *testing.T) {
+// TestLostHelloIsUnreachableNotRefused loses the Hello call: the error must not claim
+// that the peer refused this instance.
+func TestLostHelloIsUnreachableNotRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		network := &peertest.Network{}
@@ -102,7 +103,7 @@
 		}()
 		c := NewClient(ClientConfig{Instance: "client", Key: []byte("key"), Dial: func(ctx context.Context, address string) (net.Conn, error) {
 			conn, err := network.Dial(ctx, address)
-			return &lossyLink{Conn: conn}, err
+			return &lossyConn{Conn: conn}, err
 		}})
 		err := c.Connect(ctx, Target{Instance: "server", Address: listener.Addr().String()})
 		var unreachable *UnreachableError
--- a/entry/peer/peer_test.go
+++ b/entry/peer/peer_test.go
@@ -18,7 +18,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// echoHandler answers with what it got.
+// echoHandler is a GossipHandler that replies with values from the call.
 type echoHandler struct{}
 
 func (echoHandler) Digest(from string, d *peerapi.Digest) *peerapi.Digest {
@@ -29,8 +29,8 @@
 	return &peerapi.Document{Generation: above + 1, TOML: bytes.Repeat([]byte("x"), 700<<10)}
 }
 
-// serve starts a server and returns its address and the end of it.
-func serve(t *testing.T, key string) (address string, end func()) {
+// startServer starts a server and returns its address and the function that stops it.
+func startServer(t *testing.T, key string) (address string, stop func()) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -49,10 +49,10 @@
 	}
 }
 
-// TestExchange calls both methods over one connection.
-func TestExchange(t *testing.T) {
-	address, end := serve(t, "key")
-	defer end()
+// TestDigestAndDocument calls both methods over one connection.
+func TestDigestAndDocument(t *testing.T) {
+	address, stop := startServer(t, "key")
+	defer stop()
 	c := NewClient(ClientConfig{Instance: "client", Key: []byte("key")})
 	defer c.Close()
 	target := Target{Instance: "server", Address: address}
@@ -69,10 +69,11 @@
 	}
 }
 
-// TestUnknownPeerIsRefused tries a wrong key, a wrong name and no proof at all.
-func TestUnknownPeerIsRefused(t *testing.T) {
-	address, end := serve(t, "key")
-	defer end()
+// TestUnauthenticatedPeerIsRefused tries a wrong key, a wrong instance id and calls
+// without a handshake.
+func TestUnauthenticatedPeerIsRefused(t *testing.T) {
+	address, stop := startServer(t, "key")
+	defer stop()
 	var auth *AuthError
 	wrongKey := NewClient(ClientConfig{Instance: "client", Key: []byte("other")})
 	defer wrongKey.Close()
@@ -88,25 +89,25 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	rpc := jsonrpc2.NewConn(t.Context(), jsonrpc2.NewBufferedStream(raw, boundedCodec{}), jsonrpc2.HandlerWithError(refuseCalls))
+	rpc := jsonrpc2.NewConn(t.Context(), jsonrpc2.NewBufferedStream(raw, boundedCodec{}), jsonrpc2.HandlerWithError(rejectCalls))
 	defer func() { _ = rpc.Close() }()
 	for _, method := range []string{peerapi.MethodDigest, peerapi.MethodDocument} {
 		var reply peerapi.Digest
 		if err := rpc.Call(t.Context(), method, peerapi.Digest{Instance: "x"}, &reply); err == nil {
-			t.Errorf("%s was answered without a proof", method)
+			t.Errorf("%s was answered without authentication", method)
 		}
 	}
 }
 
 // TestImpostorServerIsRefused connects to a server that does not know the key.
 func TestImpostorServerIsRefused(t *testing.T) {
-	// The impostor answers the hello by sending the client's own proof back.
+	// The impostor answers Hello with the client's own MAC.
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = l.Close() }()
-	go reflect(t, l)
+	go reflectMAC(t, l)
 	c := NewClient(ClientConfig{Instance: "client", Key: []byte("key")})
 	defer c.Close()
 	var auth *AuthError
@@ -115,8 +116,8 @@
 	}
 }
 
-// reflect answers a hello with the proof that it got.
-func reflect(t *testing.T, l net.Listener) {
+// reflectMAC accepts a connection and answers Hello with the MAC that it received.
+func reflectMAC(t *testing.T, l net.Listener) {
 	raw, err := l.Accept()
 	if err != nil {
 		return
@@ -126,7 +127,7 @@
 			return peerapi.Challenge{Nonce: newNonce()}, nil
 		}
 		var h peerapi.Hello
-		if err := params(req, &h); err != nil {
+		if err := decodeParams(req, &h); err != nil {
 			return nil, err
 		}
 		return peerapi.Welcome{Instance: "server", MAC: h.MAC}, nil
@@ -135,40 +136,43 @@
 	<-rpc.DisconnectNotify()
 }
 
-// TestMessagesAreBounded refuses a frame that claims to be too long, unread.
+// TestMessagesAreBounded checks that a frame with too large a length is refused
+// before its body is read, and that too long a message isn't written.
 func TestMessagesAreBounded(t *testing.T) {
 	var size *SizeError
-	frame := binary.BigEndian.AppendUint32(nil, maxMessage+1)
+	frame := binary.BigEndian.AppendUint32(nil, maxMessageBytes+1)
 	var v any
 	if err := (boundedCodec{}).ReadObject(bufio.NewReader(bytes.NewReader(frame)), &v); !errors.As(err, &size) {
 		t.Errorf("read: %v, want a SizeError", err)
 	}
-	if err := (boundedCodec{}).WriteObject(&bytes.Buffer{}, bytes.Repeat([]byte("x"), maxMessage)); !errors.As(err, &size) {
+	if err := (boundedCodec{}).WriteObject(&bytes.Buffer{}, bytes.Repeat([]byte("x"), maxMessageBytes)); !errors.As(err, &size) {
 		t.Errorf("write: %v, want a SizeError", err)
 	}
 }
 
-// TestReconnects calls again after the server was replaced at its address.
-func TestReconnects(t *testing.T) {
-	address, end := serve(t, "key")
+// TestStoppedPeerIsUnreachable calls a peer twice after it has stopped: once on the
+// open connection, once with a new dial.
+func TestStoppedPeerIsUnreachable(t *testing.T) {
+	address, stop := startServer(t, "key")
 	c := NewClient(ClientConfig{Instance: "client", Key: []byte("key"), DialTimeout: 200 * time.Millisecond})
 	defer c.Close()
 	target := Target{Instance: "server", Address: address}
 	if _, err := c.Document(t.Context(), target, 1); err != nil {
 		t.Fatal(err)
 	}
-	end()
+	stop()
 	var unreachable *UnreachableError
 	if _, err := c.Document(t.Context(), target, 1); !errors.As(err, &unreachable) {
-		t.Errorf("a gone peer: %v, want an UnreachableError", err)
+		t.Errorf("a stopped peer: %v, want an UnreachableError", err)
 	}
 	if _, err := c.Document(t.Context(), target, 1); !errors.As(err, &unreachable) {
-		t.Errorf("a gone peer, again: %v, want an UnreachableError", err)
+		t.Errorf("a stopped peer, again: %v, want an UnreachableError", err)
 	}
 }
 
-// FuzzReadObject feeds frames to the codec: it must neither panic nor take more
-// than the bound.
+// FuzzReadObject feeds frames to the codec, which must neither panic nor accept more
+// than maxMessageBytes, and must be able to
+// write each digest that it has read.
 func FuzzReadObject(f *testing.F) {
 	f.Add([]byte{0, 0, 0, 2, '{', '}'})
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff})
@@ -189,9 +193,9 @@
 	c := NewClient(ClientConfig{Instance: "client", Key: []byte("key")})
 	defer c.Close()
 	var targets []Target
-	for range maxOpen + 5 {
-		address, end := serve(t, "key")
-		defer end()
+	for range maxClientConnections + 5 {
+		address, stop := startServer(t, "key")
+		defer stop()
 		targets = append(targets, Target{Instance: "server", Address: address})
 	}
 	for _, target := range append(targets, targets[0]) {
@@ -199,14 +203,14 @@
 			t.Fatal(err)
 		}
 	}
-	if len(c.conns) != maxOpen || c.conns[targets[1]] != nil || c.conns[targets[0]] == nil {
-		t.Errorf("%d connections are open, want the %d latest", len(c.conns), maxOpen)
+	if len(c.conns) != maxClientConnections || c.conns[targets[1]] != nil || c.conns[targets[0]] == nil {
+		t.Errorf("%d connections are open, want the %d latest", len(c.conns), maxClientConnections)
 	}
 }
 
-// TestConnectionThatThePeerClosedIsNotUsedAgain starts the peer again between two calls.
-func TestConnectionThatThePeerClosedIsNotUsedAgain(t *testing.T) {
-	address, end := serve(t, "key")
+// TestClosedConnectionIsNotReused restarts the peer between two calls.
+func TestClosedConnectionIsNotReused(t *testing.T) {
+	address, stop := startServer(t, "key")
 	c := NewClient(ClientConfig{Instance: "client", Key: []byte("key")})
 	defer c.Close()
 	target := Target{Instance: "server", Address: address}
@@ -216,7 +220,7 @@
 	c.mu.Lock()
 	kept := c.conns[target]
 	c.mu.Unlock()
-	end()
+	stop()
 	<-kept.DisconnectNotify()
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -228,7 +232,7 @@
 		done <- NewServer(ServerConfig{Instance: "server", Key: []byte("key"), Gossip: echoHandler{}}).Serve(ctx, l)
 	}()
 	if _, err := c.Digest(t.Context(), target, &peerapi.Digest{Instance: "client"}); err != nil {
-		t.Errorf("the call after the peer has started again: %v", err)
+		t.Errorf("the call after the restart of the peer: %v", err)
 	}
 	cancel()
 	if err := <-done; err != nil {
--- a/entry/peer/peertest/network.go
+++ b/entry/peer/peertest/network.go
@@ -1,4 +1,5 @@
-// Package peertest connects instances by pipes, so that their tests run in virtual time.
+// Package peertest is an in-memory network of pipes between instances, for tests that
+// run in the virtual time of testing/synctest.
 package peertest
 
 import (
@@ -9,14 +10,14 @@
 	"syscall"
 )
 
-// Network is a set of listeners by address. It is safe for concurrent use; the zero value
-// has none.
+// Network is a set of listeners by address. The zero value has no listeners and is
+// ready to use. It is safe for concurrent use.
 type Network struct {
 	mu        sync.Mutex
 	listeners map[string]*listener
 }
 
-// Listen makes a listener with an address of its own.
+// Listen returns a listener with a new address.
 func (n *Network) Listen() net.Listener {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -31,7 +32,8 @@
 	return l
 }
 
-// Dial opens a connection to the listener of an address. It fits peer.ClientConfig.
+// Dial opens a connection to the listener at an address. It has the signature of
+// peer.ClientConfig.Dial.
 func (n *Network) Dial(ctx context.Context, to string) (net.Conn, error) {
 	n.mu.Lock()
 	l := n.listeners[to]
@@ -39,10 +41,10 @@
 	if l == nil {
 		return nil, refused(to)
 	}
-	near, far := net.Pipe()
+	clientConn, serverConn := net.Pipe()
 	select {
-	case l.accept <- far:
-		return near, nil
+	case l.accept <- serverConn:
+		return clientConn, nil
 	case <-l.closed:
 		return nil, refused(to)
 	case <-ctx.Done():
@@ -50,7 +52,7 @@
 	}
 }
 
-// refused is the error of an address at which nobody listens.
+// refused returns the error of dialing an address without a listener.
 func refused(to string) error {
 	return &net.OpError{Op: "dial", Net: "pipe", Addr: address(to), Err: syscall.ECONNREFUSED}
 }
--- a/entry/peer/server.go
+++ b/entry/peer/server.go
@@ -1,6 +1,7 @@
-// Package peer carries the messages between entries: JSON-RPC 2.0 over TCP or
-// TLS. A connection is opened by a mutual proof of the shared key; before that,
-// no other call is answered.
+// Package peer is the client and server of the protocol between entries: JSON-RPC
+// 2.0 over TCP or TLS. A connection starts with a handshake in which both sides
+// prove that they know the shared key; until then, the server rejects all other
+// calls.
 package peer
 
 import (
@@ -17,66 +18,70 @@
 	"github.com/fuchsiaroad/fuchsiaroad/api/peerapi"
 )
 
-// helloTime bounds the time from accepting a connection to its proof.
-const helloTime = 3 * time.Second
+// handshakeTimeout bounds the time from accepting a connection to the end of its
+// handshake.
+const handshakeTimeout = 3 * time.Second
 
-// maxConnections bounds the connections that are served at once.
-const maxConnections = 1024
+// maxServerConnections bounds the open connections of a server.
+const maxServerConnections = 1024
 
-// GossipHandler answers the calls of proved peers. It is called by many goroutines.
+// GossipHandler exchanges digests and documents with authenticated peers. It must
+// be safe for concurrent use.
 type GossipHandler interface {
-	// Digest takes a peer's digest and gives this instance's.
+	// Digest processes the digest of peer from and returns this instance's.
 	Digest(from string, d *peerapi.Digest) *peerapi.Digest
-	// Document gives the document in force, if it is newer than above.
+	// Document returns the document in force if its generation is higher than above.
 	Document(above uint64) *peerapi.Document
 }
 
-// SyncHandler tells what this instance knows of the platform's store. It is
-// called by many goroutines.
+// SyncHandler returns this instance's copy of the state in the platform's store. It
+// must be safe for concurrent use.
 type SyncHandler interface {
 	Sync(from string, r peerapi.SyncRequest) *peerapi.SyncReply
 }
 
-// NextReplyFunc waits for the next reply of a run and says whether more may come.
-type NextReplyFunc func(ctx context.Context) (reply *peerapi.ForwardReply, going bool)
+// NextReplyFunc waits for the next reply of a forwarded request that runs, and
+// reports whether more replies may follow.
+type NextReplyFunc func(ctx context.Context) (reply *peerapi.ForwardReply, more bool)
 
-// ForwardHandler runs requests that other instances hand over.
+// ForwardHandler runs requests that other instances forward.
 type ForwardHandler interface {
-	// Offer says why a request would not be run here, "" when it would. It runs
-	// nothing.
+	// Offer returns the reason why this instance declines a request, or "" if it
+	// accepts. It doesn't run the request.
 	Offer(from string, r *peerapi.ForwardRequest) (declined string)
-	// RunOffered runs a request that was offered before. rest, if it is not nil, gives
-	// what comes after the reply; the run goes on until rest says that nothing does, or
-	// the context ends.
-	RunOffered(ctx context.Context, r *peerapi.ForwardRequest) (reply *peerapi.ForwardReply, rest NextReplyFunc)
+	// RunOffered runs a request that was accepted by Offer and returns its first
+	// reply. A nil next means that the reply is the only one; otherwise the request
+	// runs until next reports that no more replies follow, or ctx ends.
+	RunOffered(ctx context.Context, r *peerapi.ForwardRequest) (reply *peerapi.ForwardReply, next NextReplyFunc)
 }
 
-// ServerConfig says who the server is.
+// ServerConfig configures a Server.
 type ServerConfig struct {
 	Instance string
-	Key      []byte // the entries' shared secret
-	// Gossip answers the calls of instances that spread their own document;
-	// nil where there is none.
+	Key      []byte // the shared secret of the entries
+	// Gossip answers instances that replicate a document among themselves; nil
+	// rejects their calls.
 	Gossip GossipHandler
-	// Sync answers questions about the platform's store; nil where none are.
+	// Sync answers Sync calls; nil rejects them.
 	Sync SyncHandler
-	// Forward runs requests that are handed over; nil where none are.
+	// Forward runs forwarded requests; nil rejects them.
 	Forward ForwardHandler
 }
 
-// Server answers peers.
+// Server answers the calls of peers.
 type Server struct {
 	config ServerConfig
 	mu     sync.Mutex
 	conns  map[*jsonrpc2.Conn]struct{}
 }
 
-// NewServer makes a server.
+// NewServer returns a server without connections.
 func NewServer(c ServerConfig) *Server {
 	return &Server{config: c, conns: make(map[*jsonrpc2.Conn]struct{})}
 }
 
-// Serve answers on the listener until the context ends.
+// Serve accepts connections on the listener until ctx ends. It then closes them all
+// and returns nil.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
 	stop := context.AfterFunc(ctx, func() { _ = l.Close() })
 	defer stop()
@@ -90,33 +95,34 @@
 			if errors.Is(err, net.ErrClosed) {
 				return fmt.Errorf("accept peers: %w", err)
 			}
-			continue // one connection's fault is not the listener's
+			continue // the failure of one connection, which leaves the listener usable
 		}
-		s.open(ctx, conn)
+		s.startSession(ctx, conn)
 	}
 }
 
-// open starts to serve one connection.
-func (s *Server) open(ctx context.Context, conn net.Conn) {
+// startSession starts to serve a connection. It closes the connection if the server
+// has maxServerConnections.
+func (s *Server) startSession(ctx context.Context, conn net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.conns) >= maxConnections {
+	if len(s.conns) >= maxServerConnections {
 		_ = conn.Close()
 		return
 	}
-	session := &session{server: s, nonce: newNonce(), offers: make(map[uint64]*peerapi.ForwardRequest), running: make(map[uint64]*running)}
-	// Calls run beside each other: a request that is handed over takes its time.
+	session := &session{server: s, nonce: newNonce(), offers: make(map[uint64]*peerapi.ForwardRequest), running: make(map[uint64]*activeRun)}
+	// Calls of one connection run concurrently, as a forwarded request may take long.
 	handler := jsonrpc2.AsyncHandler(jsonrpc2.HandlerWithError(session.handle))
-	rpc := jsonrpc2.NewConn(ctx, jsonrpc2.NewBufferedStream(conn, boundedCodec{}), handler, quietly)
+	rpc := jsonrpc2.NewConn(ctx, jsonrpc2.NewBufferedStream(conn, boundedCodec{}), handler, discardLogs)
 	s.conns[rpc] = struct{}{}
-	hello := time.AfterFunc(helloTime, func() {
-		if session.peer() == "" {
+	handshakeTimer := time.AfterFunc(handshakeTimeout, func() {
+		if session.authenticatedPeer() == "" {
 			_ = rpc.Close()
 		}
 	})
 	go func() {
 		<-rpc.DisconnectNotify()
-		hello.Stop()
+		handshakeTimer.Stop()
 		session.cancelAll()
 		s.mu.Lock()
 		delete(s.conns, rpc)
@@ -124,7 +130,7 @@
 	}()
 }
 
-// closeAll ends all connections.
+// closeAll closes all connections and waits until they are closed.
 func (s *Server) closeAll() {
 	s.mu.Lock()
 	conns := make([]*jsonrpc2.Conn, 0, len(s.conns))
@@ -138,24 +144,24 @@
 	}
 }
 
-// session is one served connection.
+// session is the server side of one connection.
 type session struct {
 	server *Server
 	nonce  string
 
-	mu     sync.Mutex
-	proved string // the peer's instance, "" before its proof
-	// offers wait for the word to run them; running are those in progress. Both
-	// are nil once the connection has ended.
+	mu           sync.Mutex
+	peerInstance string // "" before authentication
+	// offers are the accepted requests that wait for the Run call, running those in
+	// progress, both by id. Both are nil once the connection is closed.
 	offers  map[uint64]*peerapi.ForwardRequest
-	running map[uint64]*running
+	running map[uint64]*activeRun
 }
 
-// peer returns the proved instance, or "".
-func (s *session) peer() string {
+// authenticatedPeer returns the instance id of the peer, or "" before authentication.
+func (s *session) authenticatedPeer() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.proved
+	return s.peerInstance
 }
 
 // handle answers one call.
@@ -166,7 +172,7 @@
 	case peerapi.MethodHello:
 		return s.hello(req)
 	}
-	from := s.peer()
+	from := s.authenticatedPeer()
 	if from == "" {
 		return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeInvalidRequest, Message: "not proved"}
 	}
@@ -174,45 +180,45 @@
 	case peerapi.MethodOffer:
 		return s.offer(from, req)
 	case peerapi.MethodRun:
-		return s.run(ctx, req)
+		return s.runOffered(ctx, req)
 	case peerapi.MethodRest:
-		return s.rest(req)
+		return s.nextReply(req)
 	case peerapi.MethodCancel:
-		return s.cancel(req)
+		return s.cancelRequest(req)
 	}
 	return s.call(from, req)
 }
 
-// hello checks the client's proof and gives the server's own.
+// hello verifies the client's MAC and returns the server's own.
 func (s *session) hello(req *jsonrpc2.Request) (any, error) {
 	var h peerapi.Hello
-	if err := params(req, &h); err != nil {
+	if err := decodeParams(req, &h); err != nil {
 		return nil, err
 	}
 	c := s.server.config
-	if h.Instance == "" || !proves(h.MAC, c.Key, roleClient, h.Instance, s.nonce, h.Nonce) {
+	if h.Instance == "" || !verifyMAC(h.MAC, c.Key, roleClient, h.Instance, s.nonce, h.Nonce) {
 		return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeInvalidRequest, Message: "not proved"}
 	}
 	s.mu.Lock()
-	s.proved = h.Instance
+	s.peerInstance = h.Instance
 	s.mu.Unlock()
-	return peerapi.Welcome{Instance: c.Instance, MAC: proof(c.Key, roleServer, c.Instance, h.Nonce, s.nonce)}, nil
+	return peerapi.Welcome{Instance: c.Instance, MAC: computeMAC(c.Key, roleServer, c.Instance, h.Nonce, s.nonce)}, nil
 }
 
-// call answers a proved peer.
+// call answers the calls of an authenticated peer that concern no forwarded request.
 func (s *session) call(from string, req *jsonrpc2.Request) (any, error) {
 	handler, sync := s.server.config.Gossip, s.server.config.Sync
 	switch {
 	case req.Method == peerapi.MethodSync && sync != nil:
 		var r peerapi.SyncRequest
-		if err := params(req, &r); err != nil {
+		if err := decodeParams(req, &r); err != nil {
 			return nil, err
 		}
 		return sync.Sync(from, r), nil
 	case handler == nil:
 	case req.Method == peerapi.MethodDigest:
 		var d peerapi.Digest
-		if err := params(req, &d); err != nil {
+		if err := decodeParams(req, &d); err != nil {
 			return nil, err
 		}
 		if d.Instance != from {
@@ -221,7 +227,7 @@
 		return handler.Digest(from, &d), nil
 	case req.Method == peerapi.MethodDocument:
 		var r peerapi.DocumentRequest
-		if err := params(req, &r); err != nil {
+		if err := decodeParams(req, &r); err != nil {
 			return nil, err
 		}
 		return handler.Document(r.Above), nil
@@ -229,8 +235,8 @@
 	return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeMethodNotFound, Message: "no such method"}
 }
 
-// params decodes a call's parameters.
-func params(req *jsonrpc2.Request, v any) error {
+// decodeParams decodes the parameters of a call into v.
+func decodeParams(req *jsonrpc2.Request, v any) error {
 	if req.Params == nil {
 		return &jsonrpc2.Error{Code: jsonrpc2.CodeInvalidParams, Message: "no parameters"}
 	}
