--- a/entry/peer/client.go
+++ b/entry/peer/client.go
@@ -46,7 +46,7 @@
 	config        ClientConfig
 	mu            sync.Mutex
 	conns         map[Target]*peerConn
-	recentlyUsed  []Target // the keys of conns, most recent use last
+	recentlyUsed  []Target // in order of use, the latest last; may include targets without a connection
 	lastRequestID atomic.Uint64
 }
 
@@ -236,8 +236,9 @@
 	return (&net.Dialer{}).DialContext(ctx, "tcp", address)
 }
 
-// authenticate sends this side's MAC and verifies the server's. A failure without an
-// answer of the server is an UnreachableError, any other an AuthError.
+// authenticate sends this side's MAC and verifies the server's. It returns an
+// AuthError if the server refuses this side's MAC, is another instance than t names or
+// sends a wrong MAC, and an UnreachableError if a call fails otherwise.
 func (c *Client) authenticate(ctx context.Context, rpc *jsonrpc2.Conn, t Target) error {
 	var challenge peerapi.Challenge
 	if err := rpc.Call(ctx, peerapi.MethodChallenge, struct{}{}, &challenge); err != nil {
--- a/entry/peer/forward.go
+++ b/entry/peer/forward.go
@@ -195,11 +195,10 @@
 // Error implements error.
 func (e *DeclinedError) Error() string { return "declined: " + e.Reason }
 
-// OfferOptions says how long to wait for a peer to accept a request, and whether it
-// still is to run then.
+// OfferOptions configures how Forward offers a request.
 type OfferOptions struct {
 	// Timeout is the time that the peer has to accept. A stall of this process
-	// doesn't use it up.
+	// uses up at most one of its waitPeriods parts.
 	Timeout time.Duration
 	// Confirm is called when the peer has accepted, before Run is sent. If it
 	// returns false, Run isn't sent and the request doesn't run. Nil means true.
--- a/entry/peer/idle_timeout.go
+++ b/entry/peer/idle_timeout.go
@@ -16,9 +16,9 @@
 }
 
 // isClosed reports whether either side has closed the connection.
-func (l *peerConn) isClosed() bool {
+func (c *peerConn) isClosed() bool {
 	select {
-	case <-l.DisconnectNotify():
+	case <-c.DisconnectNotify():
 		return true
 	default:
 		return false
@@ -42,9 +42,9 @@
 // no byte is received during one period of length timeout. Periods follow one
 // another from the call of withIdleTimeout, so that it may take up to twice timeout
 // after the last byte. The caller calls release when its call has ended.
-func (l *peerConn) withIdleTimeout(ctx context.Context, timeout time.Duration) (_ context.Context, release func()) {
+func (c *peerConn) withIdleTimeout(ctx context.Context, timeout time.Duration) (_ context.Context, release func()) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	previous := l.counter.received.Load()
+	previous := c.counter.received.Load()
 	go func() {
 		ticker := time.NewTicker(timeout)
 		defer ticker.Stop()
@@ -54,7 +54,7 @@
 				return
 			case <-ticker.C:
 			}
-			received := l.counter.received.Load()
+			received := c.counter.received.Load()
 			if received == previous {
 				cancel(&IdleTimeoutError{Timeout: timeout})
 				return
--- a/entry/peer/idle_timeout_test.go
+++ b/entry/peer/idle_timeout_test.go
@@ -64,8 +64,8 @@
 // TestIdleTimeoutEndsContext has a connection that never receives a byte.
 func TestIdleTimeoutEndsContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := &peerConn{counter: &countingConn{}}
-		ctx, release := l.withIdleTimeout(t.Context(), time.Second)
+		conn := &peerConn{counter: &countingConn{}}
+		ctx, release := conn.withIdleTimeout(t.Context(), time.Second)
 		defer release()
 		begin := time.Now()
 		<-ctx.Done()
--- a/entry/peer/peer_test.go
+++ b/entry/peer/peer_test.go
@@ -171,8 +171,7 @@
 }
 
 // FuzzReadObject feeds frames to the codec, which must neither panic nor accept more
-// than maxMessageBytes, and must be able to
-// write each digest that it has read.
+// than maxMessageBytes, and must be able to write each digest that it has read.
 func FuzzReadObject(f *testing.F) {
 	f.Add([]byte{0, 0, 0, 2, '{', '}'})
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff})
--- a/entry/peer/server.go
+++ b/entry/peer/server.go
@@ -80,8 +80,8 @@
 	return &Server{config: c, conns: make(map[*jsonrpc2.Conn]struct{})}
 }
 
-// Serve accepts connections on the listener until ctx ends. It then closes them all
-// and returns nil.
+// Serve accepts connections until ctx ends and returns nil then, or an error if the
+// listener is closed before. It closes all connections when it returns.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
 	stop := context.AfterFunc(ctx, func() { _ = l.Close() })
 	defer stop()
--- a/entry/peer/stall_timeout.go
+++ b/entry/peer/stall_timeout.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// waitPeriods is the number of timer periods that a stall-tolerant timeout has.
+// waitPeriods is the number of timer periods that make up a stall-tolerant timeout.
 const waitPeriods = 3
 
 // withStallTolerantTimeout returns a context that ends after d with the cause
-// context.DeadlineExceeded. A stall of this process counts as one of waitPeriods
-// periods only. The caller calls release when its call has ended.
+// context.DeadlineExceeded. A stall of this process uses up at most one of the
+// waitPeriods periods of d. The caller calls release when its call has ended.
 func withStallTolerantTimeout(ctx context.Context, d time.Duration) (_ context.Context, release func()) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	timer := time.NewTimer(d / waitPeriods)
