--- a/entry/platform/platformtest/store.go
+++ b/entry/platform/platformtest/store.go
@@ -243,8 +243,8 @@
 // burstSeconds is the size of the token bucket of writes, in seconds of WriteRate.
 const burstSeconds = 0.1
 
-// allowWrite takes a token from the bucket of writes. It returns false if the bucket
-// is empty.
+// allowWrite takes a token from the bucket of writes. It returns false if the bucket is
+// empty, and true without a token if there is no write rate.
 func (s *Store) allowWrite() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
