--- a/entry/platform/follow.go
+++ b/entry/platform/follow.go
@@ -12,9 +12,9 @@
 
 // Defaults of FollowConfig.
 const (
-	DefaultWatchWait = 30 * time.Second
-	DefaultRetryMin  = 100 * time.Millisecond
-	DefaultRetryMax  = 5 * time.Second
+	DefaultWatchWait     = 30 * time.Second
+	DefaultMinRetryDelay = 100 * time.Millisecond
+	DefaultMaxRetryDelay = 5 * time.Second
 )
 
 // Source is the part of the object API that Follow needs.
@@ -29,7 +29,7 @@
 	// Wait is how long one watch waits; 0 means DefaultWatchWait.
 	Wait time.Duration
 	// RetryMin and RetryMax bound the delay after a failure; 0 means
-	// DefaultRetryMin and DefaultRetryMax.
+	// DefaultMinRetryDelay and DefaultMaxRetryDelay.
 	RetryMin, RetryMax time.Duration
 	// Rand draws the jitter of retries; nil means a randomly seeded source.
 	Rand *rand.Rand
@@ -91,10 +91,10 @@
 		c.Wait = DefaultWatchWait
 	}
 	if c.RetryMin <= 0 {
-		c.RetryMin = DefaultRetryMin
+		c.RetryMin = DefaultMinRetryDelay
 	}
 	if c.RetryMax < c.RetryMin {
-		c.RetryMax = max(c.RetryMin, DefaultRetryMax)
+		c.RetryMax = max(c.RetryMin, DefaultMaxRetryDelay)
 	}
 	if c.Rand == nil {
 		c.Rand = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
--- a/entry/platform/follow_test.go
+++ b/entry/platform/follow_test.go
@@ -119,7 +119,7 @@
 		}
 		wg.Wait()
 		slices.Sort(delays)
-		if last := delays[instances-1]; last > platform.DefaultRetryMax {
+		if last := delays[instances-1]; last > platform.DefaultMaxRetryDelay {
 			t.Errorf("the last follower reconnected after %v", last)
 		}
 		if spread := delays[instances-1] - delays[0]; spread < time.Second {
