--- a/entry/control/fleet_test.go
+++ b/entry/control/fleet_test.go
@@ -274,7 +274,7 @@
 	return c.Document(above), nil
 }
 
-func (peerLink) Keep([]peer.Target) {}
+func (peerLink) CloseExcept([]peer.Target) {}
 
 // discardLogger is a Logger that discards all lines.
 type discardLogger struct{}
--- a/entry/control/membership.go
+++ b/entry/control/membership.go
@@ -58,7 +58,7 @@
 	for _, p := range c.membership.Peers() {
 		keep = append(keep, targetOf(p))
 	}
-	c.cfg.Peers.Keep(keep)
+	c.cfg.Peers.CloseExcept(keep)
 	c.forgetUnresponsive(c.membership.Peers())
 }
 
@@ -153,7 +153,7 @@
 	c.handleMembership(membership.DigestReceived{Digest: in})
 }
 
-// Digest implements peer.Handler: it merges a peer's digest and returns this
+// Digest implements peer.GossipHandler: it merges a peer's digest and returns this
 // instance's. If the control goroutine does not answer in time, the reply holds
 // only the instance and its zone. Any goroutine may call it.
 func (c *Control) Digest(_ string, d *peerapi.Digest) *peerapi.Digest {
@@ -173,7 +173,7 @@
 	return out
 }
 
-// Document implements peer.Handler: it returns the document in force if its
+// Document implements peer.GossipHandler: it returns the document in force if its
 // generation is above the given one, else an empty Document. Any goroutine may
 // call it.
 func (c *Control) Document(above uint64) *peerapi.Document {
--- a/entry/hosted/forwarding/gather.go
+++ b/entry/hosted/forwarding/gather.go
@@ -109,7 +109,7 @@
 		if reply.Gathered == nil || !reply.Gathered.Going {
 			return nil
 		}
-		if reply, err = f.config.Peers.Rest(ctx, peerTarget(to), request.ID); err != nil {
+		if reply, err = f.config.Peers.NextReply(ctx, peerTarget(to), request.ID); err != nil {
 			return err
 		}
 	}
@@ -124,7 +124,7 @@
 func (f *Forwarder) firstReply(ctx context.Context, r *executor.Request, to fleet.Instance, request *peerapi.ForwardRequest, accepted func() bool) (*peerapi.ForwardReply, error) {
 	ctx, cancel := context.WithDeadline(ctx, firstReplyDeadline(r))
 	defer cancel()
-	return f.config.Peers.Forward(ctx, peerTarget(to), request, peer.Acceptance{Within: gatherAcceptTimeout, Accepted: accepted})
+	return f.config.Peers.Forward(ctx, peerTarget(to), request, peer.OfferOptions{Timeout: gatherAcceptTimeout, Confirm: accepted})
 }
 
 // firstReplyDeadline returns when a group without a reply counts as lost.
@@ -222,7 +222,7 @@
 
 // runGather gathers a group for another instance. It returns the first reply, and a function
 // that waits for each further one; nil if there are none.
-func (f *Forwarder) runGather(ctx context.Context, v *view.View, r *peerapi.ForwardRequest, received gateway.RelayedRequest) (*peerapi.ForwardReply, peer.Rest) {
+func (f *Forwarder) runGather(ctx context.Context, v *view.View, r *peerapi.ForwardRequest, received gateway.RelayedRequest) (*peerapi.ForwardReply, peer.NextReplyFunc) {
 	if reason := f.gatherDeclineReason(v, r); reason != "" { // the view has changed since the offer
 		return &peerapi.ForwardReply{Version: v.Generation, Gathered: &peerapi.Gathered{Refused: reason}}, nil
 	}
--- a/entry/hosted/forwarding/relay.go
+++ b/entry/hosted/forwarding/relay.go
@@ -97,7 +97,7 @@
 func (f *Forwarder) forwardTo(ctx context.Context, to fleet.Instance, r *executor.Request, now time.Time) (*peerapi.ForwardReply, error) {
 	ctx, cancel := context.WithDeadline(ctx, r.Deadline)
 	defer cancel()
-	return f.config.Peers.Forward(ctx, peerTarget(to), f.forwardRequest(r, now, f.forwardDelays.upperBound()), peer.Acceptance{Within: acceptTimeout})
+	return f.config.Peers.Forward(ctx, peerTarget(to), f.forwardRequest(r, now, f.forwardDelays.upperBound()), peer.OfferOptions{Timeout: acceptTimeout})
 }
 
 // forwardRequest returns the message that forwards a request now. The times in it are those
@@ -187,7 +187,7 @@
 }
 
 // RunOffered implements peer.ForwardHandler.
-func (f *Forwarder) RunOffered(ctx context.Context, r *peerapi.ForwardRequest) (*peerapi.ForwardReply, peer.Rest) {
+func (f *Forwarder) RunOffered(ctx context.Context, r *peerapi.ForwardRequest) (*peerapi.ForwardReply, peer.NextReplyFunc) {
 	v := f.config.Views.View()
 	now := time.Now()
 	received := gateway.RelayedRequest{
--- a/entry/hosted/forwarding/relay_test.go
+++ b/entry/hosted/forwarding/relay_test.go
@@ -31,13 +31,13 @@
 type fakePeer struct {
 	declined string
 	run      func(ctx context.Context) *peerapi.ForwardReply
-	rest     peer.Rest
+	rest     peer.NextReplyFunc
 	lost     bool // the connection to it is lost after the first reply
 }
 
 func (p fakePeer) Offer(string, *peerapi.ForwardRequest) string { return p.declined }
 
-func (p fakePeer) RunOffered(ctx context.Context, _ *peerapi.ForwardRequest) (*peerapi.ForwardReply, peer.Rest) {
+func (p fakePeer) RunOffered(ctx context.Context, _ *peerapi.ForwardRequest) (*peerapi.ForwardReply, peer.NextReplyFunc) {
 	return p.run(ctx), p.rest
 }
 
--- a/entry/ledger/ledger_test.go
+++ b/entry/ledger/ledger_test.go
@@ -23,7 +23,7 @@
 	faulty := platformtest.Faults{
 		Latency: 2 * time.Millisecond, Jitter: 20 * time.Millisecond,
 		FailReads: 0.05, StaleReads: 0.05,
-		LoseBefore: 0.05, LoseAfter: 0.05, LoseLate: 0.05, LateBy: 400 * time.Millisecond,
+		LoseRequests: 0.05, LoseReplies: 0.05, DelayEffects: 0.05, EffectDelay: 400 * time.Millisecond,
 	}
 	f.store.SetFaults(faulty)
 	var callers sync.WaitGroup
@@ -46,7 +46,7 @@
 		}
 	}
 	callers.Wait()
-	time.Sleep(faulty.LateBy)
+	time.Sleep(faulty.EffectDelay)
 	return f
 }
 
@@ -134,7 +134,7 @@
 		store := platformtest.New(1)
 		e := startEntry(t, store, 1, nil)
 		<-e.Ready()
-		store.SetFaults(platformtest.Faults{LoseAfter: 1})
+		store.SetFaults(platformtest.Faults{LoseReplies: 1})
 		mustClaim(t, e, "k")
 	})
 }
@@ -144,7 +144,7 @@
 func TestAbandonedClaimIsReleased(t *testing.T) {
 	for name, faults := range map[string]platformtest.Faults{
 		"slow store": {Latency: 100 * time.Millisecond},
-		"late write": {Latency: 100 * time.Millisecond, LoseLate: 1, LateBy: 200 * time.Millisecond},
+		"late write": {Latency: 100 * time.Millisecond, DelayEffects: 1, EffectDelay: 200 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -158,7 +158,7 @@
 				if _, err := a.Claim(ctx, request("k", time.Second)); err == nil {
 					t.Fatal("claim was granted to a caller that had gone")
 				}
-				time.Sleep(faults.LateBy)
+				time.Sleep(faults.EffectDelay)
 				store.SetFaults(platformtest.Faults{})
 				time.Sleep(time.Second)
 				mustClaim(t, b, "k")
@@ -233,7 +233,7 @@
 	for name, faults := range map[string]platformtest.Faults{
 		"down":          {Down: true},
 		"hangs":         {Hang: true},
-		"loses replies": {LoseBefore: 1, FailReads: 1},
+		"loses replies": {LoseRequests: 1, FailReads: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -279,7 +279,7 @@
 		most   int
 	}{
 		"down":           {platformtest.Faults{Down: true}, 30},
-		"takes no write": {platformtest.Faults{LoseBefore: 1}, 200},
+		"takes no write": {platformtest.Faults{LoseRequests: 1}, 200},
 	} {
 		t.Run(name, func(t *testing.T) { checkCallsInOutage(t, test.faults, test.most) })
 	}
