--- a/spec/news.pml
+++ b/spec/news.pml
@@ -19,7 +19,7 @@
 #define VERSIONS  2      /* accepted in all; the first is there at the start */
 #define END       5      /* ticks */
 #define BOUND     3      /* ticks within which a version must be in force */
-#define FRESH     2      /* kernel/catalog: Settings.Fresh, shorter than BOUND */
+#define FRESH     2      /* kernel/catalog: Settings.ConfigFreshFor, shorter than BOUND */
 #define RESTARTS  1
 #define NONE      255
 
@@ -43,7 +43,7 @@
 	began[i] = 0; seen[i] = 0; age[i] = 0
 }
 
-/* catalog.ConfigRead */
+/* catalog.ApplyConfig */
 inline take(i, version, at) {
 #ifdef ACCEPT_LOWER
 	assert(version >= held[i]);
@@ -107,7 +107,7 @@
 		:: ask[i] -> over(i)    /* it failed, or is older than the clock here */
 		:: else -> skip
 		fi; i = 0; j = 0 }
-	/* gateway.noRoute */
+	/* gateway.newNoRoute */
 	:: atomic {
 		select(i : 0 .. INSTANCES - 1);
 		if
--- a/spec/rollout.pml
+++ b/spec/rollout.pml
@@ -68,7 +68,7 @@
 	fi
 }
 
-/* kernel/rollout: fate, on the history of generation g. The save that replaced
+/* kernel/rollout: stateInHistory, on the history of generation g. The save that replaced
  * the version base[s] wrote generation base[s] + 1. */
 inline settle(s, g) {
 	if
@@ -79,7 +79,7 @@
 	:: g > base[s] && who[base[s] + 1] == s -> st[s] = accepted
 	:: g > base[s] && who[base[s] + 1] != s -> tell_conflict(s)
 #endif
-	/* Machine.unsettled: trying again is safe, since one try at most can
+	/* Machine.handleUnsettled: trying again is safe, since one try at most can
 	 * replace the version. */
 	:: g <= base[s] && st[s] == unsettled -> st[s] = putting
 	:: else -> skip
@@ -91,7 +91,7 @@
 	st[s] = conflict
 }
 
-/* Machine.putEnded */
+/* Machine.readBack */
 inline reply_lost(s) {
 	lost[s] = true;
 #ifdef LOST_REPLY_IS_FAILURE
