--- a/entry/hosted/announce.go
+++ b/entry/hosted/announce.go
@@ -41,7 +41,7 @@
 
 // startedAgain waits for a list and reports whether it has this instance as it is.
 func (m *members) startedAgain(ctx context.Context) bool {
-	if m.node.config.FirstStart {
+	if m.node.config.Bootstrap {
 		return false
 	}
 	timer := time.NewTimer(listWait)
@@ -58,7 +58,7 @@
 func (m *members) joined(existed bool) {
 	how := fleet.JoinAsNew
 	switch {
-	case m.node.config.FirstStart:
+	case m.node.config.Bootstrap:
 		how = fleet.JoinAtBootstrap
 	case existed:
 		how = fleet.JoinAfterRestart
--- a/entry/hosted/begin.go
+++ b/entry/hosted/begin.go
@@ -105,7 +105,7 @@
 	if len(c.node.config.Seeds) == 0 || look(c.node.fleet, (*fleet.Fleet).IsSeed) {
 		return
 	}
-	if c.node.config.FirstStart {
+	if c.node.config.Bootstrap {
 		sleep(ctx, firstSyncTimeout)
 		return
 	}
--- a/entry/hosted/city_test.go
+++ b/entry/hosted/city_test.go
@@ -171,9 +171,9 @@
 		seeds = append(seeds, address(s))
 	}
 	n, err := New(Config{
-		Instance: name(i), Zone: fmt.Sprintf("z%d", i%c.zones), Peer: address(i), Seeds: seeds, FirstStart: first, Power: 1,
+		Instance: name(i), Zone: fmt.Sprintf("z%d", i%c.zones), PeerAddress: address(i), Seeds: seeds, Bootstrap: first, CPUs: 1,
 		Source: storeOf{c.store, name(i)}, PeerKey: []byte("k"), NewLeaves: func(func(string)) Leaves { return noLeaves{} },
-		Tunables: Tunables{Bound: bound, Grace: time.Second, Catalog: catalog.Settings{ConfigFreshFor: bound, EntryTTL: bound, ReregisterWithin: time.Second, DroppedSetRetention: time.Second}},
+		Tunables: Tunables{FreshnessBound: bound, GracePeriod: time.Second, Catalog: catalog.Settings{ConfigFreshFor: bound, EntryTTL: bound, ReregisterWithin: time.Second, DroppedSetRetention: time.Second}},
 		Log:      telemetry.Options{Level: "error", Format: "json"}, LogSink: io.Discard,
 	})
 	if err != nil {
--- a/entry/hosted/control.go
+++ b/entry/hosted/control.go
@@ -26,7 +26,7 @@
 
 // bound is a share of the time within which a change must be in force.
 func (c *control) bound(share float64) time.Duration {
-	return time.Duration(share * float64(c.node.tunables.Load().Bound))
+	return time.Duration(share * float64(c.node.tunables.Load().FreshnessBound))
 }
 
 // control owns the catalog. One goroutine does all of its work.
--- a/entry/hosted/control_test.go
+++ b/entry/hosted/control_test.go
@@ -98,7 +98,7 @@
 	n, err := New(Config{
 		Instance: "i", Zone: "z", Source: store, PeerKey: []byte("k"),
 		NewLeaves: func(func(string)) Leaves { return noLeaves{} },
-		Tunables:  Tunables{Bound: bound, Grace: time.Second, Catalog: catalog.Settings{ConfigFreshFor: bound, EntryTTL: bound, ReregisterWithin: time.Second, DroppedSetRetention: time.Second}},
+		Tunables:  Tunables{FreshnessBound: bound, GracePeriod: time.Second, Catalog: catalog.Settings{ConfigFreshFor: bound, EntryTTL: bound, ReregisterWithin: time.Second, DroppedSetRetention: time.Second}},
 		Log:       telemetry.Options{Level: "info", Format: "json"}, LogSink: io.Discard,
 	})
 	if err != nil {
--- a/entry/hosted/freshness_test.go
+++ b/entry/hosted/freshness_test.go
@@ -298,7 +298,7 @@
 			if role != fleet.RoleMember && random.IntN(4) == 0 {
 				r := c.byName(name)
 				r.node.lifecycle.Set(lifecycle.Leaving)
-				leaving = append(leaving, r.node.config.Peer)
+				leaving = append(leaving, r.node.config.PeerAddress)
 			}
 		}
 		c.store.set(func(s *sharedStore) { s.silent = func(name string) bool { return out[name] } })
--- a/entry/hosted/hosted.go
+++ b/entry/hosted/hosted.go
@@ -63,27 +63,27 @@
 type Config struct {
 	Instance string
 	Zone     string
-	// Listen is the clients' address, Ready that of the balancer's questions and
+	// Listen is the clients' address, ReadyAddress that of the balancer's questions and
 	// of the metrics.
-	Listen, Ready string
-	// Peer is the address at which other instances reach this one.
-	Peer string
+	Listen, ReadyAddress string
+	// PeerAddress is the address at which other instances reach this one.
+	PeerAddress string
 	// PeerKey is the secret that instances prove to each other.
 	PeerKey []byte
 	// Seeds are addresses of instances, like Peer, at which one that knows no other finds
 	// some. They may be old or down; its own may be among them.
 	Seeds []string
-	// FirstStart says that all instances start, for the first time.
-	FirstStart bool
-	// Power is the share of a core that this instance has; 0: not known.
-	Power float64
+	// Bootstrap says that all instances start, for the first time.
+	Bootstrap bool
+	// CPUs is the share of a core that this instance has; 0: not known.
+	CPUs float64
 	// ReadyPath is the path of the balancer's question.
 	ReadyPath string
 	Source    Source
-	// Metrics is an address of its own for the metrics, IP:port; empty: none.
-	Metrics string
-	// Instruments are those that the source's client counts with; nil makes some.
-	Instruments *telemetry.Metrics
+	// MetricsAddress is an address of its own for the metrics, IP:port; empty: none.
+	MetricsAddress string
+	// Metrics are those that the source's client counts with; nil makes some.
+	Metrics *telemetry.Metrics
 	// NewLeaves makes the leaf protocol; gone may be called from any goroutine
 	// for a leaf that shows that it takes no more work.
 	NewLeaves func(gone func(leafID string)) Leaves
@@ -96,10 +96,10 @@
 // Tunables are what may change while an instance runs.
 type Tunables struct {
 	Catalog catalog.Settings
-	// Bound is the time within which a change in the store must be in force.
-	Bound time.Duration
-	// Grace is the time between the word to stop and the end.
-	Grace time.Duration
+	// FreshnessBound is the time within which a change in the store must be in force.
+	FreshnessBound time.Duration
+	// GracePeriod is the time between the word to stop and the end.
+	GracePeriod time.Duration
 }
 
 // Node is one hosted instance.
@@ -151,10 +151,10 @@
 	if err := hostedPolicies.Check(); err != nil {
 		return nil, err
 	}
-	if c.Instruments == nil {
-		c.Instruments = telemetry.NewMetrics()
+	if c.Metrics == nil {
+		c.Metrics = telemetry.NewMetrics()
 	}
-	n := &Node{config: c, log: log, metrics: c.Instruments}
+	n := &Node{config: c, log: log, metrics: c.Metrics}
 	n.tunables.Store(&c.Tunables)
 	n.fleet = newMembers(n)
 	n.slow = slowleaves.New()
@@ -162,7 +162,7 @@
 	n.control = newControl(n)
 	n.leaves = c.NewLeaves(n.control.leafGone)
 	n.forwarder = forwarding.New(forwarding.Config{
-		Zone: c.Zone, Fleet: n.fleet, Views: n, Lifecycle: &n.lifecycle, Peers: n.peers, Power: c.Power, Log: log, SyncNow: n.control.syncNow,
+		Zone: c.Zone, Fleet: n.fleet, Views: n, Lifecycle: &n.lifecycle, Peers: n.peers, Power: c.CPUs, Log: log, SyncNow: n.control.syncNow,
 	})
 	n.executor = executor.New(executor.Config{
 		Leaves: n.leaves, LeafObserver: n.control, Log: log, Metrics: n.metrics, Policies: hostedPolicies,
@@ -194,8 +194,8 @@
 // Log returns the logger of a part.
 func (n *Node) Log(part string) *telemetry.Part { return n.log.Part(part) }
 
-// Retune puts changed settings in force.
-func (n *Node) Retune(t Tunables) {
+// ApplyTunables puts changed settings in force.
+func (n *Node) ApplyTunables(t Tunables) {
 	n.tunables.Store(&t)
 	n.control.offer(retuned{t.Catalog})
 }
@@ -208,12 +208,12 @@
 		return fmt.Errorf("listen for clients: %w", err)
 	}
 	defer clients.Close()
-	balancer, err := n.listen(ctx, n.config.Ready)
+	balancer, err := n.listen(ctx, n.config.ReadyAddress)
 	if err != nil {
 		return fmt.Errorf("listen for the balancer: %w", err)
 	}
 	defer balancer.Close()
-	peers, err := n.listen(ctx, n.config.Peer)
+	peers, err := n.listen(ctx, n.config.PeerAddress)
 	if err != nil {
 		return fmt.Errorf("listen for peers: %w", err)
 	}
@@ -223,7 +223,7 @@
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return serveUntil(ctx, n.clientServer(), clients) })
 	g.Go(func() error { return serveUntil(ctx, n.readyServer(), balancer) })
-	if n.config.Metrics != "" {
+	if n.config.MetricsAddress != "" {
 		g.Go(func() error { return n.serveMetrics(ctx) })
 	}
 	g.Go(func() error { return n.peerServer().Serve(ctx, peers) })
--- a/entry/hosted/members.go
+++ b/entry/hosted/members.go
@@ -72,7 +72,7 @@
 // newMembers makes a fleet of one.
 func newMembers(n *Node) *members {
 	span := n.config.Tunables.Catalog.RepeatLimit.Window
-	self := fleet.Instance{Name: n.config.Instance, Zone: n.config.Zone, PeerAddress: n.config.Peer, CPUs: n.config.Power, AnnouncementID: rand.Uint64()}
+	self := fleet.Instance{Name: n.config.Instance, Zone: n.config.Zone, PeerAddress: n.config.PeerAddress, CPUs: n.config.CPUs, AnnouncementID: rand.Uint64()}
 	m := &members{
 		node: n, log: n.log.Part("fleet"), self: self, begun: time.Now(), known: make(chan struct{}),
 		bad: newBadEntries(n.log.Part("fleet"), n.metrics.Scope, "instances"),
--- a/entry/hosted/quarantine_test.go
+++ b/entry/hosted/quarantine_test.go
@@ -19,8 +19,8 @@
 func idle(t *testing.T) *Node {
 	t.Helper()
 	n, err := New(Config{
-		Instance: "idle", Zone: "z", Power: 0.2, PeerKey: []byte("k"), Source: &fakeStore{},
-		NewLeaves: func(func(string)) Leaves { return noLeaves{} }, Tunables: Tunables{Bound: bound},
+		Instance: "idle", Zone: "z", CPUs: 0.2, PeerKey: []byte("k"), Source: &fakeStore{},
+		NewLeaves: func(func(string)) Leaves { return noLeaves{} }, Tunables: Tunables{FreshnessBound: bound},
 		Log: telemetry.Options{Level: "info"}, LogSink: io.Discard,
 	})
 	if err != nil {
--- a/entry/hosted/ready.go
+++ b/entry/hosted/ready.go
@@ -21,7 +21,7 @@
 // serveMetrics serves the metrics on an address of their own until the context
 // ends. Where the address can't be had they are still on the balancer's.
 func (n *Node) serveMetrics(ctx context.Context) error {
-	l, err := net.Listen("tcp", n.config.Metrics)
+	l, err := net.Listen("tcp", n.config.MetricsAddress)
 	if err != nil {
 		n.log.Part("node").Warn("metrics have no address of their own", "err", err)
 		return nil
--- a/entry/hosted/routes_bench_test.go
+++ b/entry/hosted/routes_bench_test.go
@@ -29,7 +29,7 @@
 func benchNode(b *testing.B) *Node {
 	n, err := New(Config{
 		Instance: "i", Zone: "z", Source: &fakeStore{}, PeerKey: []byte("k"),
-		NewLeaves: func(func(string)) Leaves { return noLeaves{} }, Tunables: Tunables{Bound: bound},
+		NewLeaves: func(func(string)) Leaves { return noLeaves{} }, Tunables: Tunables{FreshnessBound: bound},
 		Log: telemetry.Options{Level: "error", Format: "json"}, LogSink: io.Discard,
 	})
 	if err != nil {
--- a/entry/hosted/stop.go
+++ b/entry/hosted/stop.go
@@ -26,7 +26,7 @@
 func (n *Node) drain(ctx context.Context) {
 	log := n.log.Part("node")
 	begin := time.Now()
-	grace := n.tunables.Load().Grace
+	grace := n.tunables.Load().GracePeriod
 	n.lifecycle.Set(lifecycle.Leaving)
 	log.Info("leaving: still serving until the balancer has let go", "queries", n.executor.Running())
 	most := time.Duration(leaveShare * float64(grace))
--- a/entry/hosted/stop_test.go
+++ b/entry/hosted/stop_test.go
@@ -26,8 +26,8 @@
 		synctest.Test(t, func(t *testing.T) {
 			store := &fakeStore{version: 1}
 			n, err := New(Config{
-				Instance: "i", Zone: "z", Source: store, PeerKey: []byte("k"), Peer: "10.0.0.1:1", Seeds: []string{"10.0.0.2:1"},
-				NewLeaves: func(func(string)) Leaves { return noLeaves{} }, Tunables: Tunables{Bound: bound, Grace: grace},
+				Instance: "i", Zone: "z", Source: store, PeerKey: []byte("k"), PeerAddress: "10.0.0.1:1", Seeds: []string{"10.0.0.2:1"},
+				NewLeaves: func(func(string)) Leaves { return noLeaves{} }, Tunables: Tunables{FreshnessBound: bound, GracePeriod: grace},
 				Log: telemetry.Options{Level: "info"}, LogSink: io.Discard,
 			})
 			if err != nil {
