--- /dev/null
+++ b/entry/hosted/announcement.go
@@ -0,0 +1,70 @@
+package hosted
+
+import (
+	"context"
+	"math/rand/v2"
+	"time"
+
+	"github.com/fuchsiaroad/fuchsiaroad/kernel/backoff"
+	"github.com/fuchsiaroad/fuchsiaroad/kernel/fleet"
+)
+
+// keepAnnounced rewrites the announcement periodically until this instance leaves. An instance that
+// restarts and is already listed with the same data writes nothing at first: an announcement
+// only makes the others count it, and they already do.
+func (m *membership) keepAnnounced(ctx context.Context) error {
+	retryDelay := backoff.Backoff{Min: minAnnounceRetryDelay, Max: announceInterval}
+	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
+	unconfirmed := false // an existing announcement may come from a call that seemed to fail
+	if m.awaitOwnAnnouncement(ctx) {
+		m.recordJoin(true)
+		sleep(ctx, announceInterval/2+rand.N(announceInterval/2))
+	}
+	for ctx.Err() == nil && !m.node.lifecycle.Leaving() {
+		m.self.AnnouncementID++
+		callCtx, cancel := context.WithTimeout(ctx, instanceCallTimeout)
+		existed, err := m.node.config.Source.Announce(callCtx, m.self, readFleet(m, (*fleet.Fleet).IsAnnounced))
+		cancel()
+		wait := announceInterval
+		if err != nil {
+			unconfirmed = true
+			wait = retryDelay.Next(random)
+			m.log.Warn("announcement was not written", "err", err, "again_in", wait)
+		} else {
+			m.recordJoin(existed && !unconfirmed)
+			retryDelay.Reset()
+		}
+		sleep(ctx, wait)
+	}
+	return ctx.Err()
+}
+
+// awaitOwnAnnouncement waits for a list of instances and reports whether it has this instance
+// with its present data. At a bootstrap it reports false at once.
+func (m *membership) awaitOwnAnnouncement(ctx context.Context) bool {
+	if m.node.config.Bootstrap {
+		return false
+	}
+	timer := time.NewTimer(ownAnnouncementWait)
+	defer timer.Stop()
+	select {
+	case <-m.listKnown:
+	case <-timer.C:
+	case <-ctx.Done():
+	}
+	return readFleet(m, (*fleet.Fleet).IsAnnounced)
+}
+
+// recordJoin records that other instances can know of this one.
+func (m *membership) recordJoin(existed bool) {
+	joinKind := fleet.JoinAsNew
+	switch {
+	case m.node.config.Bootstrap:
+		joinKind = fleet.JoinAtBootstrap
+	case existed:
+		joinKind = fleet.JoinAfterRestart
+	}
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.fleet.RecordJoin(joinKind, time.Now())
+}
--- a/entry/hosted/badentries.go
+++ b/entry/hosted/badentries.go
@@ -7,27 +7,27 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/catalog"
 )
 
-// badEntries reports entries of the store that can't be used: once for each change of
-// such an entry, and not with each reading. It is used by one goroutine at a time.
-type badEntries struct {
+// badEntryReporter reports entries of the store that can't be used: once for each change of
+// such an entry rather than at each read. It is not safe for concurrent use.
+type badEntryReporter struct {
 	log   *telemetry.Part
 	scope tally.Scope
-	// reported are the entries of the last reading, by name.
+	// reported holds the bad entries of the last read, by name.
 	reported map[string]catalog.BadEntry
 }
 
-// newBadEntries reports entries of a kind.
-func newBadEntries(log *telemetry.Part, scope tally.Scope, kind string) *badEntries {
-	return &badEntries{log: log, scope: scope.SubScope("hosted").Tagged(map[string]string{"kind": kind})}
+// newBadEntryReporter makes a reporter of bad entries of one kind.
+func newBadEntryReporter(log *telemetry.Part, scope tally.Scope, kind string) *badEntryReporter {
+	return &badEntryReporter{log: log, scope: scope.SubScope("hosted").Tagged(map[string]string{"kind": kind})}
 }
 
-// report takes all bad entries of one reading.
-func (b *badEntries) report(list []catalog.BadEntry) {
-	if len(list) == 0 && len(b.reported) == 0 {
+// report logs and counts the bad entries of one read that are new or differ.
+func (b *badEntryReporter) report(entries []catalog.BadEntry) {
+	if len(entries) == 0 && len(b.reported) == 0 {
 		return
 	}
-	next := make(map[string]catalog.BadEntry, len(list))
-	for _, e := range list {
+	next := make(map[string]catalog.BadEntry, len(entries))
+	for _, e := range entries {
 		next[e.Name] = e
 		if b.reported[e.Name] == e {
 			continue
--- a/entry/hosted/control.go
+++ b/entry/hosted/control.go
@@ -18,114 +18,117 @@
 )
 
 const (
-	// tickInterval is how often the catalog drops what is over.
+	// tickInterval is how often the catalog drops expired entries.
 	tickInterval = 500 * time.Millisecond
-	// inboxLength bounds what waits for the control goroutine.
+	// inboxLength is the number of messages that can wait for the control goroutine.
 	inboxLength = 64
 )
 
-// bound is a share of the time within which a change must be in force.
-func (c *control) bound(share float64) time.Duration {
+// boundShare returns a share of the freshness bound, the time within which a change in the store
+// must be in force.
+func (c *control) boundShare(share float64) time.Duration {
 	return time.Duration(share * float64(c.node.tunables.Load().FreshnessBound))
 }
 
-// control owns the catalog. One goroutine does all of its work.
+// control owns the catalog. Only the goroutine of run uses the catalog; others send it messages.
 type control struct {
 	node     *Node
 	log      *telemetry.Part
 	catalog  *catalog.Catalog
 	inbox    chan any
 	sequence uint64
-	// state is what this instance sends to others; nil before it knows anything.
+	// state is the state that this instance sends to peers; nil before there is any.
 	state atomic.Pointer[statesync.State]
-	// peers reaches other instances.
+	// peers calls other instances.
 	peers syncPeers
-	// receiver keeps what a peer sent last, on top of the store's lists up to receiverBase;
-	// the goroutine's own that learns from peers, like oldSince.
-	receiver     statesync.Receiver
-	receiverBase uint64
-	// oldSince is when this instance's state became old; zero: it is not.
-	oldSince time.Time
-	// storeLists counts the lists from the store that differed from the one in force. What a
-	// peer says to be unchanged is the list that was in force when it was asked.
-	storeLists atomic.Uint64
-	// readFails says that the last read of the store by this instance failed.
-	readFails atomic.Bool
-	// suggested is a peer that knows better than this instance; nil: none.
-	suggested atomic.Pointer[fleet.Instance]
-	// wake ends the wait for the next synchronization.
-	wake chan struct{}
-	// source holds a string: the source of the last newer state, see sourceOf.
-	source atomic.Value
-	meters stateMeter
-	// badLeaves reports the entries of leaves that can't be used.
-	badLeaves *badEntries
+	// receiver keeps the list that a peer sent last, to which the next answer may be a
+	// difference. It is valid while storeListChanges equals receiverListChanges. Only the
+	// goroutine that synchronizes from peers uses these two and staleSince.
+	receiver            statesync.Receiver
+	receiverListChanges uint64
+	// staleSince is when this instance's state became stale; zero if it is fresh.
+	staleSince time.Time
+	// storeListChanges counts the lists of leaves from the store that differed from the one in
+	// force. A peer's answer "unchanged" refers to the list that was in force when the peer was
+	// asked, so it counts only if this number is still the same.
+	storeListChanges atomic.Uint64
+	// storeReadFailing is set while this instance's last read of the store is one that failed.
+	storeReadFailing atomic.Bool
+	// fresherPeer is a peer that has fresher state than this instance; nil: none.
+	fresherPeer atomic.Pointer[fleet.Instance]
+	// syncRequested ends the wait for the next synchronization early.
+	syncRequested chan struct{}
+	// lastSource holds a string: where the last newer state came from, as sourceOf names it.
+	lastSource atomic.Value
+	gauges     stateGauges
+	// badLeaves reports the store's entries of leaves that can't be used.
+	badLeaves *badEntryReporter
 }
 
-// syncPeers asks other instances what they know.
+// syncPeers asks other instances for their state.
 type syncPeers interface {
 	Sync(ctx context.Context, t peer.Target, r peerapi.SyncRequest) (*peerapi.SyncReply, error)
 }
 
-// configRead is a read of the configuration; nil: there is none.
+// configRead is the result of a read of the configuration; config is nil if there is none.
 type configRead struct {
-	config *catalog.Config
-	began  time.Time
+	config    *catalog.Config
+	startedAt time.Time
 }
 
-// leavesRead is a read of the leaves.
+// leavesRead is the result of a read of the leaves.
 type leavesRead struct {
-	list  catalog.Listing
-	began time.Time
+	list      catalog.Listing
+	startedAt time.Time
 }
 
 // peerUpdate is the state that a peer has sent.
 type peerUpdate struct {
-	update *statesync.Update
-	peer   string // its name, or its address before it is known
-	base   uint64 // the store's lists when it was asked
+	update           *statesync.Update
+	peer             string // its name, or its address while the name is unknown
+	storeListChanges uint64 // control.storeListChanges when the peer was asked
 }
 
-// origin is where state comes from.
-type origin struct {
-	peer  string    // empty: this instance's own read of the store
-	began time.Time // when the read of the store began
-	// byChange is set if the peer sent only the change from the previous version.
-	byChange bool
+// stateOrigin says where state comes from and how old it is.
+type stateOrigin struct {
+	peer          string    // empty: this instance's own read of the store
+	readStartedAt time.Time // when the read of the store that gave the state began
+	// isDelta says that the peer sent only the difference from the previous version.
+	isDelta bool
 }
 
-// pairs names the origin and its age in a log line.
-func (o origin) pairs(now time.Time) []any {
+// logAttrs returns the keys and values of the origin and its age for a log line.
+func (o stateOrigin) logAttrs(now time.Time) []any {
 	if o.peer == "" {
-		return []any{"from", "store", "age", now.Sub(o.began)}
+		return []any{"from", "store", "age", now.Sub(o.readStartedAt)}
 	}
-	return []any{"from", "peer", "peer", o.peer, "age", now.Sub(o.began)}
+	return []any{"from", "peer", "peer", o.peer, "age", now.Sub(o.readStartedAt)}
 }
 
-// leafGone says that a leaf, by its incarnation, takes no more work.
+// leafGone says that a leaf takes no more work. The ID is that of one incarnation of the leaf.
 type leafGone struct{ id string }
 
-// retuned is a change of settings.
+// retuned says that the catalog's settings have changed.
 type retuned struct{ settings catalog.Settings }
 
-// fleetResized is the word that shares of limits have changed.
+// fleetResized says that this instance's shares of the fleet's limits have changed.
 type fleetResized struct{}
 
-// newControl makes control; it reads nothing yet.
+// newControl makes a control that has read nothing yet.
 func newControl(n *Node) *control {
 	return &control{
 		node: n, log: n.log.Part("control"), peers: n.peers, catalog: catalog.New(n.config.Tunables.Catalog),
-		inbox: make(chan any, inboxLength), wake: make(chan struct{}, 1),
-		meters:    stateMeter{scope: n.metrics.Scope.SubScope("hosted")},
-		badLeaves: newBadEntries(n.log.Part("control"), n.metrics.Scope, "leaves"),
+		inbox: make(chan any, inboxLength), syncRequested: make(chan struct{}, 1),
+		gauges:    stateGauges{scope: n.metrics.Scope.SubScope("hosted")},
+		badLeaves: newBadEntryReporter(n.log.Part("control"), n.metrics.Scope, "leaves"),
 	}
 }
 
 // run follows the store and publishes views until the context ends.
 func (c *control) run(ctx context.Context) error {
-	var following sync.WaitGroup
-	following.Go(func() { c.follow(ctx) })
-	defer following.Wait()
+	var loops sync.WaitGroup
+	loops.Go(func() { c.runSyncLoops(ctx) })
+	defer loops.Wait()
 	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	for {
@@ -133,9 +136,9 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case message := <-c.inbox:
-			c.handle(message)
+			c.handleMessage(message)
 		case now := <-tick.C:
-			c.meter(now)
+			c.updateGauges(now)
 			if c.catalog.Expire(now) {
 				c.publish()
 			}
@@ -143,37 +146,38 @@
 	}
 }
 
-// meter tells what this instance believes and holds.
-func (c *control) meter(now time.Time) {
+// updateGauges reports the instance's state, connections and load as gauges.
+func (c *control) updateGauges(now time.Time) {
 	n := c.node
 	configAge, leavesAge := n.ages()
 	dials, open := n.leaves.Opened()
 	repeatsLeft, limited := n.executor.RepeatsLeft(now)
-	_, role := n.fleet.source(now)
-	c.meters.observe(state{
+	_, role := n.membership.syncSource(now)
+	c.gauges.update(gaugeValues{
 		source: c.stateSource(), role: role.String(),
 		configAge: configAge.Seconds(), leavesAge: leavesAge.Seconds(), version: c.catalog.Version(),
-		leaves: c.catalog.LeafCount(), slowLeaves: len(n.slow.Slow(now)), instances: look(n.fleet, (*fleet.Fleet).Size),
-		connections: open, dials: dials, running: n.executor.Running(), logDrops: n.log.Dropped(),
-		repeatsLeft: repeatsLeft, limitedShards: limited, forward: n.forwarder.ForwardDelay().Seconds(), gather: n.forwarder.GatherDelay().Seconds(),
+		leaves: c.catalog.LeafCount(), slowLeaves: len(n.slowLeaves.Slow(now)), instances: readFleet(n.membership, (*fleet.Fleet).Size),
+		connections: open, dials: dials, runningQueries: n.executor.Running(), logDrops: n.log.Dropped(),
+		repeatsLeft: repeatsLeft, limitedShards: limited, forwardDelay: n.forwarder.ForwardDelay().Seconds(), gatherDelay: n.forwarder.GatherDelay().Seconds(),
 	})
 }
 
-// handle takes one message.
-func (c *control) handle(message any) {
+// handleMessage applies one message to the catalog, publishes a new view if anything changed, and
+// renews the state that is sent to peers.
+func (c *control) handleMessage(message any) {
 	now := time.Now()
 	changed := false
 	switch m := message.(type) {
 	case configRead:
 		if m.config == nil {
-			c.catalog.RecordConfigMissing(m.began)
+			c.catalog.RecordConfigMissing(m.startedAt)
 		} else {
-			changed = c.takeConfig(m.config, origin{began: m.began}, now)
+			changed = c.applyConfig(m.config, stateOrigin{readStartedAt: m.startedAt}, now)
 		}
 	case leavesRead:
-		changed = c.takeLeaves(m.list, origin{began: m.began}, now)
+		changed = c.applyLeaves(m.list, stateOrigin{readStartedAt: m.startedAt}, now)
 	case peerUpdate:
-		changed = c.takeUpdate(m, now)
+		changed = c.applyUpdate(m, now)
 	case retuned:
 		c.catalog.SetSettings(m.settings)
 		changed = true
@@ -187,18 +191,18 @@
 	if changed {
 		c.publish()
 	}
-	before := c.state.Load()
-	hash := before.Hash()
-	c.refreshState(now)
-	if c.state.Load().AsOf().After(before.AsOf()) {
-		c.source.Store(sourceOf(message))
+	previous := c.state.Load()
+	previousHash := previous.Hash()
+	c.refreshPeerState(now)
+	if c.state.Load().AsOf().After(previous.AsOf()) {
+		c.lastSource.Store(sourceOf(message))
 	}
-	if _, ok := message.(leavesRead); ok && c.state.Load().Hash() != hash {
-		c.storeLists.Add(1)
+	if _, ok := message.(leavesRead); ok && c.state.Load().Hash() != previousHash {
+		c.storeListChanges.Add(1)
 	}
 }
 
-// Sources of newer state.
+// Values of the metric label "source".
 const (
 	sourceStore = "store"
 	sourcePeer  = "peer"
@@ -215,39 +219,39 @@
 
 // stateSource returns the source of the last newer state.
 func (c *control) stateSource() string {
-	if source, ok := c.source.Load().(string); ok {
+	if source, ok := c.lastSource.Load().(string); ok {
 		return source
 	}
 	return sourceNone
 }
 
-// takeConfig puts a configuration into the catalog.
-func (c *control) takeConfig(cfg *catalog.Config, from origin, now time.Time) bool {
-	before := c.catalog.Version()
-	changed := c.catalog.ApplyConfig(cfg, from.began, now)
+// applyConfig applies a configuration to the catalog and reports whether anything changed.
+func (c *control) applyConfig(cfg *catalog.Config, from stateOrigin, now time.Time) bool {
+	previousVersion := c.catalog.Version()
+	changed := c.catalog.ApplyConfig(cfg, from.readStartedAt, now)
 	if changed {
-		pairs := []any{"version", cfg.Version, "before", before, "routes", len(cfg.Routes), "changed", c.catalog.ChangedRouteCount(), "by_change", from.byChange}
-		c.log.Info("configuration in force", append(pairs, from.pairs(now)...)...)
+		attrs := []any{"version", cfg.Version, "before", previousVersion, "routes", len(cfg.Routes), "changed", c.catalog.ChangedRouteCount(), "by_change", from.isDelta}
+		c.log.Info("configuration in force", append(attrs, from.logAttrs(now)...)...)
 	}
-	until := c.catalog.ConfigFreshUntil()
-	c.node.current.Store(&until)
+	freshUntil := c.catalog.ConfigFreshUntil()
+	c.node.configFreshUntil.Store(&freshUntil)
 	return changed
 }
 
-// takeLeaves puts a list of leaves into the catalog.
-func (c *control) takeLeaves(list catalog.Listing, from origin, now time.Time) bool {
+// applyLeaves applies a list of leaves to the catalog and reports whether anything changed.
+func (c *control) applyLeaves(list catalog.Listing, from stateOrigin, now time.Time) bool {
 	c.badLeaves.report(list.Bad)
-	before := c.catalog.LeafCount()
-	changed := c.catalog.ApplyLeaves(list, from.began, now)
+	previousCount := c.catalog.LeafCount()
+	changed := c.catalog.ApplyLeaves(list, from.readStartedAt, now)
 	if changed {
-		pairs := []any{"revision", list.Revision, "bad", len(list.Bad), "leaves", c.catalog.LeafCount(), "before", before}
-		c.log.Info("leaves changed", append(pairs, from.pairs(now)...)...)
+		attrs := []any{"revision", list.Revision, "bad", len(list.Bad), "leaves", c.catalog.LeafCount(), "before", previousCount}
+		c.log.Info("leaves changed", append(attrs, from.logAttrs(now)...)...)
 	}
 	return changed
 }
 
-// refreshState renews what other instances are sent.
-func (c *control) refreshState(now time.Time) {
+// refreshPeerState renews the state that other instances are sent.
+func (c *control) refreshPeerState(now time.Time) {
 	state, err := statesync.New(c.catalog, c.state.Load(), now)
 	if err != nil {
 		c.log.Error("state for peers was not encoded", "err", err)
@@ -256,24 +260,25 @@
 	c.state.Store(state)
 }
 
-// publish builds a view of what is in force.
+// publish builds a view of the catalog and puts it in force, once the catalog has read both
+// configuration and leaves.
 func (c *control) publish() {
 	if !c.catalog.Ready() {
 		return
 	}
 	c.sequence++
-	v := view.BuildReusing(c.node.View(), c.catalog.Version(), "", c.catalog.Document(), c.catalog.Draining, c.connections)
+	v := view.BuildReusing(c.node.View(), c.catalog.Version(), "", c.catalog.Document(), c.catalog.Draining, c.connectionShare)
 	v.Sequence = c.sequence
 	c.node.publish(v, c.catalog.Limits())
 }
 
-// connections is this instance's share of a leaf's limit, at least one.
-func (c *control) connections(u *document.Upstream, _ string) int {
-	return look(c.node.fleet, func(f *fleet.Fleet) int { return f.ConnectionShare(u.ConnectionLimit, len(u.Shards)) })
+// connectionShare returns this instance's share of a leaf's connection limit, at least one.
+func (c *control) connectionShare(u *document.Upstream, _ string) int {
+	return readFleet(c.node.membership, func(f *fleet.Fleet) int { return f.ConnectionShare(u.ConnectionLimit, len(u.Shards)) })
 }
 
-// post hands a message to the control goroutine.
-func (c *control) post(ctx context.Context, message any) error {
+// send passes a message to the control goroutine and waits until there is room for it.
+func (c *control) send(ctx context.Context, message any) error {
 	select {
 	case c.inbox <- message:
 		return nil
@@ -282,9 +287,9 @@
 	}
 }
 
-// offer hands a message over without blocking. What finds the inbox full comes
-// again with the next read of the store, or follows with the next view.
-func (c *control) offer(message any) {
+// trySend passes a message to the control goroutine without blocking. If the inbox is full the
+// message is dropped: the next read of the store or the next view brings what it said.
+func (c *control) trySend(message any) {
 	select {
 	case c.inbox <- message:
 	default:
@@ -292,18 +297,19 @@
 	}
 }
 
-// leafGone takes the leaf's own sign.
-func (c *control) leafGone(id string) { c.offer(leafGone{id: id}) }
+// reportLeafGone passes on that a leaf indicated itself that it takes no more work.
+func (c *control) reportLeafGone(id string) { c.trySend(leafGone{id: id}) }
 
-// resized says that the fleet's size has changed.
-func (c *control) resized() { c.offer(fleetResized{}) }
+// reportFleetResized passes on that the fleet's size has changed.
+func (c *control) reportFleetResized() { c.trySend(fleetResized{}) }
 
-// SawLeaving implements executor.LeafObserver. Leaves are known by their incarnations here.
-func (c *control) SawLeaving(leafID string, _ int64) { c.leafGone(leafID) }
+// SawLeaving implements executor.LeafObserver. The ID alone identifies the incarnation of a leaf.
+func (c *control) SawLeaving(leafID string, _ int64) { c.reportLeafGone(leafID) }
 
-// SawBorn implements executor.LeafObserver. Births come from the store here.
+// SawBorn implements executor.LeafObserver. It does nothing: new incarnations of leaves are
+// found in the store.
 func (c *control) SawBorn(string, int64) {}
 
-// SpreadNow implements executor.LeafObserver. Instances here do not tell each other
-// of quarantines.
+// SpreadNow implements executor.LeafObserver. It does nothing: quarantined requests travel with
+// the periodic synchronization.
 func (c *control) SpreadNow() {}
--- a/entry/hosted/control_test.go
+++ b/entry/hosted/control_test.go
@@ -21,23 +21,23 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// fakeStore is the platform's store as a test plays it.
+// fakeStore is a fake of the platform's store for one instance.
 type fakeStore struct {
 	mu      sync.Mutex
 	version uint64
-	silent  bool // calls hang until their time is over
+	silent  bool // calls hang until their context ends
 	failing bool // calls fail at once
 	reads   int
 }
 
-// set changes the store.
-func (s *fakeStore) set(change func(s *fakeStore)) {
+// update changes the store.
+func (s *fakeStore) update(change func(s *fakeStore)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change(s)
 }
 
-// read plays one call.
+// read simulates one call.
 func (s *fakeStore) read(ctx context.Context) (uint64, error) {
 	s.mu.Lock()
 	s.reads++
@@ -79,7 +79,7 @@
 	return false, nil
 }
 
-// noLeaves is a leaf protocol without leaves.
+// noLeaves is a leaf protocol client that reaches no leaf.
 type noLeaves struct{}
 
 func (noLeaves) Run(context.Context, leafclient.Target, *leafclient.Request, func() bool) (*leafclient.Reply, error) {
@@ -89,16 +89,16 @@
 func (noLeaves) Opened() (int64, int)      { return 0, 0 }
 func (noLeaves) Close()                    {}
 
-// bound is the time within which a change must be in force in these tests.
-const bound = 3 * time.Second
+// testBound is the freshness bound in these tests.
+const testBound = 3 * time.Second
 
-// start makes an instance on the store and runs its control.
-func start(t *testing.T, store Source) (n *Node, end func()) {
+// startNode makes an instance that reads a store, and runs its control goroutine. end stops it.
+func startNode(t *testing.T, store Source) (n *Node, end func()) {
 	t.Helper()
 	n, err := New(Config{
 		Instance: "i", Zone: "z", Source: store, PeerKey: []byte("k"),
 		NewLeaves: func(func(string)) Leaves { return noLeaves{} },
-		Tunables:  Tunables{FreshnessBound: bound, GracePeriod: time.Second, Catalog: catalog.Settings{ConfigFreshFor: bound, EntryTTL: bound, ReregisterWithin: time.Second, DroppedSetRetention: time.Second}},
+		Tunables:  Tunables{FreshnessBound: testBound, GracePeriod: time.Second, Catalog: catalog.Settings{ConfigFreshFor: testBound, EntryTTL: testBound, ReregisterWithin: time.Second, DroppedSetRetention: time.Second}},
 		Log:       telemetry.Options{Level: "info", Format: "json"}, LogSink: io.Discard,
 	})
 	if err != nil {
@@ -118,67 +118,68 @@
 	}
 }
 
-// version is that of the configuration in force.
-func version(n *Node) uint64 {
+// configVersion returns the version of the configuration in force, 0 for none.
+func configVersion(n *Node) uint64 {
 	if v := n.View(); v != nil {
 		return v.Generation
 	}
 	return 0
 }
 
-// TestSilentStoreIsAskedAgain starts while the store is silent for a moment: the
-// configuration is there 400 ms after the start, and not after a whole second.
-func TestSilentStoreIsAskedAgain(t *testing.T) {
+// TestStartRetriesSilentStore starts an instance while the store does not answer for 250 ms: the
+// configuration is in force 450 ms after the start, not only after a whole second.
+func TestStartRetriesSilentStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &fakeStore{version: 5, silent: true}
-		n, end := start(t, store)
+		n, end := startNode(t, store)
 		defer end()
 		time.Sleep(250 * time.Millisecond)
-		store.set(func(s *fakeStore) { s.silent = false })
+		store.update(func(s *fakeStore) { s.silent = false })
 		time.Sleep(200 * time.Millisecond)
 		synctest.Wait()
-		if version(n) != 5 {
+		if configVersion(n) != 5 {
 			t.Error("no configuration 450 ms after the start")
 		}
 	})
 }
 
-// TestChangeIsInForceWithinTheBound changes the configuration at many moments.
-func TestChangeIsInForceWithinTheBound(t *testing.T) {
+// TestConfigChangeIsInForceWithinBound changes the configuration at many different moments:
+// each change is in force within half of the bound.
+func TestConfigChangeIsInForceWithinBound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &fakeStore{version: 1}
-		n, end := start(t, store)
+		n, end := startNode(t, store)
 		defer end()
 		for v := uint64(2); v < 20; v++ {
 			time.Sleep(time.Duration(v) * 137 * time.Millisecond)
-			store.set(func(s *fakeStore) { s.version = v })
-			time.Sleep(bound / 2)
+			store.update(func(s *fakeStore) { s.version = v })
+			time.Sleep(testBound / 2)
 			synctest.Wait()
-			if version(n) != v {
+			if configVersion(n) != v {
 				t.Fatalf("version %d is not in force after half of the bound", v)
 			}
 		}
 	})
 }
 
-// TestOutageKeepsWhatIsInForce fails all calls for long, and bounds how often the
-// store is asked meanwhile.
-func TestOutageKeepsWhatIsInForce(t *testing.T) {
+// TestOutageKeepsConfigInForce fails all calls to the store for a minute: the configuration stays
+// in force, but does not count as the newest, and the number of calls stays limited.
+func TestOutageKeepsConfigInForce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &fakeStore{version: 4}
-		n, end := start(t, store)
+		n, end := startNode(t, store)
 		defer end()
 		time.Sleep(time.Second)
-		store.set(func(s *fakeStore) { s.failing, s.reads = true, 0 })
+		store.update(func(s *fakeStore) { s.failing, s.reads = true, 0 })
 		time.Sleep(time.Minute)
 		synctest.Wait()
-		if version(n) != 4 {
-			t.Errorf("the configuration was lost in an outage: version %d, ready %v", version(n), n.control.catalog.Ready())
+		if configVersion(n) != 4 {
+			t.Errorf("the configuration was lost in an outage: version %d, ready %v", configVersion(n), n.control.catalog.Ready())
 		}
 		if n.Current() {
 			t.Error("the configuration counts as the newest after a minute without the store")
 		}
-		store.set(func(s *fakeStore) {
+		store.update(func(s *fakeStore) {
 			if s.reads > 250 {
 				t.Errorf("%d reads in a minute of outage", s.reads)
 			}
@@ -186,18 +187,18 @@
 		})
 		time.Sleep(2 * time.Second)
 		synctest.Wait()
-		if version(n) != 9 {
+		if configVersion(n) != 9 {
 			t.Error("the newer configuration is not in force two seconds after the outage")
 		}
 	})
 }
 
-// TestSyncReply checks what an instance tells others, and that one that knows nothing,
-// or leaves, tells that.
+// TestSyncReply checks the state that an instance sends to a peer, and that one without state, or
+// one that is leaving, answers that it has none.
 func TestSyncReply(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &fakeStore{}
-		n, end := start(t, store)
+		n, end := startNode(t, store)
 		defer end()
 		if reply := n.Sync("other", peerapi.SyncRequest{}); reply.ConfigAgeMS != -1 {
 			t.Errorf("reply before the first read: %+v", reply)
@@ -207,7 +208,7 @@
 		if reply := n.Sync("other", peerapi.SyncRequest{}); reply.ConfigAgeMS < 0 || reply.Version != 0 || reply.Config != nil {
 			t.Errorf("reply while there is no configuration: %+v; want its age and no configuration", reply)
 		}
-		store.set(func(s *fakeStore) { s.version = 3 })
+		store.update(func(s *fakeStore) { s.version = 3 })
 		time.Sleep(2 * time.Second)
 		synctest.Wait()
 		reply := n.Sync("other", peerapi.SyncRequest{})
--- a/entry/hosted/freshness_test.go
+++ b/entry/hosted/freshness_test.go
@@ -16,34 +16,34 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/fleet"
 )
 
-// unserved are the instances that the store does not serve: the reader, the leads of all zones
-// and every third member.
-func unserved(roles map[string]fleet.Role) map[string]bool {
-	out := make(map[string]bool)
+// pickUnserved chooses the instances that the store does not serve: the reader, the leads of all
+// zones and about three in ten members.
+func pickUnserved(roles map[string]fleet.Role) map[string]bool {
+	unserved := make(map[string]bool)
 	for i, name := range slices.Sorted(maps.Keys(roles)) {
 		if roles[name] != fleet.RoleMember || i%10 < 3 {
-			out[name] = true
+			unserved[name] = true
 		}
 	}
-	return out
+	return unserved
 }
 
-// worstAge is the greatest age of the state of the instances that are not excepted.
-func (c *city) worstAge(except map[string]bool) time.Duration {
+// worstAge returns the greatest age of the state of the instances that are not excepted.
+func (f *testFleet) worstAge(except map[string]bool) time.Duration {
 	synctest.Wait()
-	c.mu.Lock()
-	defer c.mu.Unlock()
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	worst := time.Duration(0)
-	for _, r := range c.running {
+	for _, r := range f.running {
 		if !except[r.node.config.Instance] {
-			worst = max(worst, r.node.control.age())
+			worst = max(worst, r.node.control.stateAge())
 		}
 	}
 	return worst
 }
 
 // TestUnservedLeadsDoNotMakeServedInstancesStale has the store serve neither the reader nor any
-// lead: the instances that it serves stay within eight tenths of the bound.
+// lead: the state of the instances that it serves stays younger than eight tenths of the bound.
 func TestUnservedLeadsDoNotMakeServedInstancesStale(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -52,9 +52,9 @@
 	}{{"61 refused", 61, false}, {"61 silent", 61, true}, {"195 silent", 195, true}} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				worst := worstAgeServed(t, c.size, c.silent)
+				worst := worstServedAge(t, c.size, c.silent)
 				t.Logf("worst age %v", worst)
-				if limit := bound * 8 / 10; worst >= limit {
+				if limit := testBound * 8 / 10; worst >= limit {
 					t.Errorf("state of a served instance was %v old, want less than %v", worst, limit)
 				}
 			})
@@ -62,41 +62,41 @@
 	}
 }
 
-// worstAgeServed is the greatest age of the state of the instances that the store serves, in ten
-// seconds in which it does not serve the others.
-func worstAgeServed(t *testing.T, size int, silent bool) time.Duration {
-	c := newCity(t, size)
-	c.zones = 3
-	c.settle()
-	defer c.stopAll()
-	out := unserved(c.roles())
-	isOut := func(name string) bool { return out[name] }
-	c.store.set(func(s *sharedStore) {
+// worstServedAge returns the greatest age of the state of the instances that the store serves, in
+// ten seconds in which it does not serve the others.
+func worstServedAge(t *testing.T, size int, silent bool) time.Duration {
+	f := newTestFleet(t, size)
+	f.zones = 3
+	f.settle()
+	defer f.stopAll()
+	unserved := pickUnserved(f.roles())
+	isUnserved := func(name string) bool { return unserved[name] }
+	f.store.update(func(s *sharedStore) {
 		if silent {
-			s.silent = isOut
+			s.isSilent = isUnserved
 		} else {
-			s.refused = isOut
+			s.refuses = isUnserved
 		}
 	})
 	worst := time.Duration(0)
 	for range 200 {
 		time.Sleep(50 * time.Millisecond)
-		worst = max(worst, c.worstAge(out))
+		worst = max(worst, f.worstAge(unserved))
 	}
 	return worst
 }
 
-// TestLeadWithSilentReadLearnsFromItsMember has the store answer one member only: what it reads
-// reaches its lead with the member's next sync, although the lead waits for a read of its own.
-func TestLeadWithSilentReadLearnsFromItsMember(t *testing.T) {
+// TestLeadWithHangingReadSyncsFromItsMember has the store answer only one member: what the member
+// reads reaches its lead with the member's next sync, although the lead's own read still hangs.
+func TestLeadWithHangingReadSyncsFromItsMember(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCity(t, 20)
-		c.zones = 1
-		c.settle()
-		defer c.stopAll()
+		f := newTestFleet(t, 20)
+		f.zones = 1
+		f.settle()
+		defer f.stopAll()
 		var lead, served *Node
-		for _, r := range c.running {
-			if _, role := r.node.fleet.source(time.Now()); role == fleet.RoleReader {
+		for _, r := range f.running {
+			if _, role := r.node.membership.syncSource(time.Now()); role == fleet.RoleReader {
 				lead = r.node
 			} else {
 				served = r.node
@@ -105,54 +105,54 @@
 		worst := time.Duration(0)
 		for round := range 8 {
 			want := uint64(round + 2)
-			c.store.set(func(s *sharedStore) { s.silent = func(string) bool { return true } })
-			time.Sleep(2*bound + time.Duration(round)*300*time.Millisecond)
-			c.store.set(func(s *sharedStore) {
+			f.store.update(func(s *sharedStore) { s.isSilent = func(string) bool { return true } })
+			time.Sleep(2*testBound + time.Duration(round)*300*time.Millisecond)
+			f.store.update(func(s *sharedStore) {
 				s.version = want
-				s.silent = func(name string) bool { return name != served.config.Instance }
+				s.isSilent = func(name string) bool { return name != served.config.Instance }
 			})
-			read := c.await(served, want)
-			c.await(lead, want)
+			read := f.await(served, want)
+			f.await(lead, want)
 			worst = max(worst, time.Since(read))
 		}
 		t.Logf("worst delay %v", worst)
-		if limit := bound/8 + syncTimeout; worst > limit {
+		if limit := testBound/8 + peerSilenceTimeout; worst > limit {
 			t.Errorf("the lead had a member's state %v after the member, want at most %v", worst, limit)
 		}
 	})
 }
 
-// TestReaderLearnsSoonAfterSilenceOfTheStore lets the store be silent to an instance that nobody
-// else can tell anything, until its waits are longest: served again, it is fresh within the bound,
-// whatever it waits for at that moment.
-func TestReaderLearnsSoonAfterSilenceOfTheStore(t *testing.T) {
+// TestReaderRecoversSoonAfterSilentStore has the store not answer the only instance of a fleet until
+// its time-outs and retry delays are longest: once the store answers again, the instance is fresh
+// within the bound, whatever it waits for at that moment.
+func TestReaderRecoversSoonAfterSilentStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := settled(t, 1)
-		defer c.stopAll()
-		n := c.byName(name(0)).node
+		f := newSettledFleet(t, 1)
+		defer f.stopAll()
+		n := f.findRunning(instanceName(0)).node
 		worst := time.Duration(0)
 		for phase := range 40 {
-			c.store.set(func(s *sharedStore) { s.silent = func(string) bool { return true } })
+			f.store.update(func(s *sharedStore) { s.isSilent = func(string) bool { return true } })
 			time.Sleep(10*time.Second + time.Duration(phase)*90*time.Millisecond)
-			c.store.set(func(s *sharedStore) { s.silent = nil; s.version++ })
+			f.store.update(func(s *sharedStore) { s.isSilent = nil; s.version++ })
 			served := time.Now()
-			c.await(n, uint64(phase+2))
+			f.await(n, uint64(phase+2))
 			worst = max(worst, time.Since(served))
 		}
 		t.Logf("fresh after %v at most", worst)
-		if limit := bound * 8 / 10; worst >= limit {
+		if limit := testBound * 8 / 10; worst >= limit {
 			t.Errorf("fresh %v after the store served it, want less than %v", worst, limit)
 		}
 	})
 }
 
-// slowLink is a store whose answers begin at once and whose configuration takes its time on the way.
-type slowLink struct {
+// slowLinkStore is a store whose answers begin at once, but whose configuration takes long to transfer.
+type slowLinkStore struct {
 	fakeStore
 	transfer time.Duration
 }
 
-func (s *slowLink) Config(ctx context.Context) (*catalog.Config, error) {
+func (s *slowLinkStore) Config(ctx context.Context) (*catalog.Config, error) {
 	if trace := httptrace.ContextClientTrace(ctx); trace != nil {
 		trace.GotFirstResponseByte()
 	}
@@ -164,155 +164,157 @@
 	}
 }
 
-// TestLargeConfigurationIsReadOverASlowLink has the configuration take longer on its way than an
-// instance waits for a silent store.
-func TestLargeConfigurationIsReadOverASlowLink(t *testing.T) {
+// TestLargeConfigIsReadOverSlowLink has the transfer of the configuration take longer than an
+// instance waits for the first byte of an answer.
+func TestLargeConfigIsReadOverSlowLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := &slowLink{fakeStore: fakeStore{version: 1}, transfer: 5 * readTimeout / 2}
-		n, end := start(t, store)
+		store := &slowLinkStore{fakeStore: fakeStore{version: 1}, transfer: 5 * minReadTimeout / 2}
+		n, end := startNode(t, store)
 		defer end()
-		time.Sleep(bound)
+		time.Sleep(testBound)
 		worst := time.Duration(0)
 		for range 100 {
 			time.Sleep(50 * time.Millisecond)
 			synctest.Wait()
-			worst = max(worst, n.control.age())
+			worst = max(worst, n.control.stateAge())
 		}
-		if limit := bound * 8 / 10; worst >= limit {
+		if limit := testBound * 8 / 10; worst >= limit {
 			t.Errorf("the reader's state was %v old, want less than %v", worst, limit)
 		}
-		if err := newStoreReader(n.control).readAs(t.Context(), fleet.RoleMember); err != nil {
+		if err := newStoreReader(n.control).readInRole(t.Context(), fleet.RoleMember); err != nil {
 			t.Errorf("a member did not read it: %v", err)
 		}
 	})
 }
 
-// await waits until an instance has a version in force and returns when it had.
-func (c *city) await(n *Node, want uint64) time.Time {
-	c.t.Helper()
-	for end := time.Now().Add(20 * bound); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+// await waits until an instance has a version in force and returns the time of that.
+func (f *testFleet) await(n *Node, want uint64) time.Time {
+	f.t.Helper()
+	for end := time.Now().Add(20 * testBound); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		synctest.Wait()
-		if version(n) == want {
+		if configVersion(n) == want {
 			return time.Now()
 		}
 	}
-	c.t.Fatalf("%s has version %d after %v, want %d", n.config.Instance, version(n), 20*bound, want)
+	f.t.Fatalf("%s has version %d after %v, want %d", n.config.Instance, configVersion(n), 20*testBound, want)
 	return time.Time{}
 }
 
-// TestInstancesInTouchStayWithinTheBound changes at random, again and again, whom the store serves
-// and how it fails the others, stops and starts instances: one that has run and been served for a bound
-// is never older than the bound.
-func TestInstancesInTouchStayWithinTheBound(t *testing.T) {
+// TestServedInstancesStayWithinBound changes at random, again and again, which instances the store
+// serves and how it fails the others, and stops and starts instances. The state of an instance that
+// has run and been served for longer than the bound is never older than the bound.
+func TestServedInstancesStayWithinBound(t *testing.T) {
 	for seed := range uint64(20) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { playServing(t, rand.New(rand.NewPCG(seed, 30))) })
+			synctest.Test(t, func(t *testing.T) { runStoreFaults(t, rand.New(rand.NewPCG(seed, 30))) })
 		})
 	}
 }
 
-// playServing plays twenty changes of whom the store serves.
-func playServing(t *testing.T, random *rand.Rand) {
-	c := newCity(t, 6+random.IntN(30))
-	c.zones = 1 + random.IntN(4)
-	c.settle()
-	defer c.stopAll()
-	touch := make(map[string]time.Time) // since when each instance is in touch
+// runStoreFaults makes twenty random changes of which instances the store serves.
+func runStoreFaults(t *testing.T, random *rand.Rand) {
+	f := newTestFleet(t, 6+random.IntN(30))
+	f.zones = 1 + random.IntN(4)
+	f.settle()
+	defer f.stopAll()
+	servedSince := make(map[string]time.Time) // since when each instance has run and been served
 	for range 20 {
-		out := make(map[string]bool)
+		unserved := make(map[string]bool)
 		share := random.Float64()
-		for i := range c.size {
-			_, running := c.running[address(i)]
+		for i := range f.size {
+			_, running := f.running[peerAddress(i)]
 			if stops := random.IntN(20) == 0; stops && running {
-				c.stop(address(i))
+				f.stop(peerAddress(i))
 			} else if !running {
-				c.start(i, false)
+				f.start(i, false)
 			}
-			out[name(i)] = random.Float64() < share
+			unserved[instanceName(i)] = random.Float64() < share
 		}
-		for leader, role := range c.roles() {
-			out[leader] = out[leader] || role != fleet.RoleMember && random.IntN(2) == 0
+		for leader, role := range f.roles() {
+			unserved[leader] = unserved[leader] || role != fleet.RoleMember && random.IntN(2) == 0
 		}
 		silent := random.IntN(2) == 0
-		c.store.set(func(s *sharedStore) {
-			isOut := func(name string) bool { return out[name] }
-			if s.silent, s.refused = nil, isOut; silent {
-				s.silent, s.refused = isOut, nil
+		f.store.update(func(s *sharedStore) {
+			isUnserved := func(name string) bool { return unserved[name] }
+			if s.isSilent, s.refuses = nil, isUnserved; silent {
+				s.isSilent, s.refuses = isUnserved, nil
 			}
 		})
 		for range 5 + random.IntN(80) {
-			c.checkTouch(touch, out)
+			f.checkServedAges(servedSince, unserved)
 			time.Sleep(100 * time.Millisecond)
 		}
 	}
 }
 
-// checkTouch notes since when each instance is in touch, and checks the age of those that are.
-func (c *city) checkTouch(touch map[string]time.Time, out map[string]bool) {
+// checkServedAges records since when each instance has run and been served, and checks the age of the
+// state of those that have been for longer than the bound.
+func (f *testFleet) checkServedAges(servedSince map[string]time.Time, unserved map[string]bool) {
 	synctest.Wait()
 	now := time.Now()
-	for i := range c.size {
-		r, running := c.running[address(i)]
-		if !running || out[name(i)] {
-			delete(touch, name(i))
+	for i := range f.size {
+		r, running := f.running[peerAddress(i)]
+		if !running || unserved[instanceName(i)] {
+			delete(servedSince, instanceName(i))
 			continue
 		}
-		if _, ok := touch[name(i)]; !ok {
-			touch[name(i)] = now
+		if _, ok := servedSince[instanceName(i)]; !ok {
+			servedSince[instanceName(i)] = now
 		}
-		if age := r.node.control.age(); now.Sub(touch[name(i)]) > bound && age > bound {
-			c.t.Fatalf("%s is %v old and has been served for %v", name(i), age, now.Sub(touch[name(i)]))
+		if age := r.node.control.stateAge(); now.Sub(servedSince[instanceName(i)]) > testBound && age > testBound {
+			f.t.Fatalf("%s is %v old and has been served for %v", instanceName(i), age, now.Sub(servedSince[instanceName(i)]))
 		}
 	}
 }
 
-// TestInstancesInTouchStayWithinTheBoundBehindCuts does the same while calls between instances get
-// no answer in one direction, instances answer others slowly, and leaders leave.
-func TestInstancesInTouchStayWithinTheBoundBehindCuts(t *testing.T) {
+// TestServedInstancesStayWithinBoundDuringPeerFaults checks the same while calls between instances
+// get no answer in one direction, instances answer others slowly, and readers and leads leave.
+func TestServedInstancesStayWithinBoundDuringPeerFaults(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { playCuts(t, rand.New(rand.NewPCG(seed, 31))) })
+			synctest.Test(t, func(t *testing.T) { runPeerFaults(t, rand.New(rand.NewPCG(seed, 31))) })
 		})
 	}
 }
 
-// playCuts plays fifteen changes of who reaches whom. The store serves most instances.
-func playCuts(t *testing.T, random *rand.Rand) {
-	c := newCity(t, 6+random.IntN(30))
-	c.zones = 1 + random.IntN(4)
-	c.settle()
-	defer c.stopAll()
-	touch := make(map[string]time.Time)
+// runPeerFaults makes fifteen random changes of which instances reach each other. The store serves
+// most instances.
+func runPeerFaults(t *testing.T, random *rand.Rand) {
+	f := newTestFleet(t, 6+random.IntN(30))
+	f.zones = 1 + random.IntN(4)
+	f.settle()
+	defer f.stopAll()
+	servedSince := make(map[string]time.Time)
 	for range 15 {
-		for i := range c.size {
-			if _, running := c.running[address(i)]; !running {
-				c.start(i, false)
+		for i := range f.size {
+			if _, running := f.running[peerAddress(i)]; !running {
+				f.start(i, false)
 			}
 		}
 		var leaving []string
-		out, deaf, mute := make(map[string]bool), make(map[string]bool), make(map[string]bool)
+		unserved, noRepliesFrom, noRepliesTo := make(map[string]bool), make(map[string]bool), make(map[string]bool)
 		share := random.Float64() / 2
-		for name, role := range c.roles() {
-			out[name] = random.Float64() < share
-			deaf[name], mute[name] = random.Float64() < share, random.Float64() < share
+		for name, role := range f.roles() {
+			unserved[name] = random.Float64() < share
+			noRepliesFrom[name], noRepliesTo[name] = random.Float64() < share, random.Float64() < share
 			if role != fleet.RoleMember && random.IntN(4) == 0 {
-				r := c.byName(name)
+				r := f.findRunning(name)
 				r.node.lifecycle.Set(lifecycle.Leaving)
 				leaving = append(leaving, r.node.config.PeerAddress)
 			}
 		}
-		c.store.set(func(s *sharedStore) { s.silent = func(name string) bool { return out[name] } })
-		c.set(func() {
-			c.cut = func(from, to string) bool { return mute[from] || deaf[to] }
-			c.slow = time.Duration(random.IntN(3)) * 100 * time.Millisecond
+		f.store.update(func(s *sharedStore) { s.isSilent = func(name string) bool { return unserved[name] } })
+		f.update(func() {
+			f.dropsReplies = func(from, to string) bool { return noRepliesTo[from] || noRepliesFrom[to] }
+			f.slowReplyDelay = time.Duration(random.IntN(3)) * 100 * time.Millisecond
 		})
 		for tick := range 5 + random.IntN(80) {
 			if tick == 4 {
 				for _, address := range leaving {
-					c.stop(address)
+					f.stop(address)
 				}
 			}
-			c.checkTouch(touch, out)
+			f.checkServedAges(servedSince, unserved)
 			time.Sleep(100 * time.Millisecond)
 		}
 	}
--- a/entry/hosted/hosted.go
+++ b/entry/hosted/hosted.go
@@ -1,8 +1,8 @@
-// Package hosted runs an entry instance on a platform of its users' own: the
-// configuration is an object that their operators write, leaves register
-// themselves in the platform's store, and requests are passed on as they come.
-// An adapter gives it the store's words, the leaf's protocol and the names of
-// headers; decisions are the kernel's.
+// Package hosted runs an entry instance on a platform that its users run
+// themselves: operators write the configuration as an object of the platform's
+// store, leaves register themselves there, and requests are forwarded unchanged.
+// An adapter supplies the access to the store, the leaf protocol and the names
+// of the headers; the kernel makes the decisions.
 package hosted
 
 import (
@@ -31,8 +31,8 @@
 	_ "github.com/fuchsiaroad/fuchsiaroad/plugins" // registers the policies
 )
 
-// Source reads the platform's store. Each call answers for the moment at which
-// it was made, or later.
+// Source is the platform's store. Except for Instances and Probe, each read
+// returns the contents as of the moment at which it was made, or later.
 type Source interface {
 	// Config reads the newest configuration; nil while there is none.
 	Config(ctx context.Context) (*catalog.Config, error)
@@ -40,26 +40,26 @@
 	Leaves(ctx context.Context) (catalog.Listing, error)
 	// Instances reads the announcements of all instances; they may be seconds old.
 	Instances(ctx context.Context) ([]fleet.Instance, []catalog.BadEntry, error)
-	// Probe asks for a small object that may be old, which costs little. Without an error
+	// Probe reads a small object that may be stale, which is cheap. It returns nil if
 	// the store serves this instance.
 	Probe(ctx context.Context) error
-	// Announce writes this instance's announcement, and reports whether there was one;
-	// known says that there should be.
+	// Announce writes this instance's announcement and reports whether one existed
+	// before; known says that the list in force has one.
 	Announce(ctx context.Context, i fleet.Instance, known bool) (existed bool, err error)
 }
 
-// Leaves is the leaf protocol with its connections.
+// Leaves is the client of the leaf protocol, with its connections.
 type Leaves interface {
 	executor.Leaves
-	// Apply drops the connections of leaves that are not named.
+	// Apply closes the connections to leaves that are not among the targets.
 	Apply(targets []leafclient.Target)
-	// Opened is the number of connections opened so far and open now.
+	// Opened returns the number of connections opened so far and open at present.
 	Opened() (dials int64, open int)
-	// Close drops all.
+	// Close closes all connections.
 	Close()
 }
 
-// Config is what an instance is made of.
+// Config holds the identity, addresses and dependencies of an instance.
 type Config struct {
 	Instance string
 	Zone     string
@@ -70,8 +70,8 @@
 	PeerAddress string
 	// PeerKey is the secret that instances prove to each other.
 	PeerKey []byte
-	// Seeds are addresses of instances, like Peer, at which one that knows no other finds
-	// some. They may be old or down; its own may be among them.
+	// Seeds are peer addresses of instances that a starting instance asks for the state and
+	// the list of instances. They may be outdated or down, and may include its own address.
 	Seeds []string
 	// Bootstrap says that all instances start, for the first time.
 	Bootstrap bool
@@ -84,8 +84,8 @@
 	MetricsAddress string
 	// Metrics are those that the source's client counts with; nil makes some.
 	Metrics *telemetry.Metrics
-	// NewLeaves makes the leaf protocol; gone may be called from any goroutine
-	// for a leaf that shows that it takes no more work.
+	// NewLeaves makes the client of the leaf protocol, which may call gone from any
+	// goroutine for a leaf that indicates that it takes no more work.
 	NewLeaves func(gone func(leafID string)) Leaves
 	Headers   gateway.Headers
 	Tunables  Tunables
@@ -93,7 +93,7 @@
 	LogSink   io.Writer
 }
 
-// Tunables are what may change while an instance runs.
+// Tunables are the settings that may change while an instance runs.
 type Tunables struct {
 	Catalog catalog.Settings
 	// FreshnessBound is the time within which a change in the store must be in force.
@@ -104,51 +104,51 @@
 
 // Node is one hosted instance.
 type Node struct {
-	config    Config
-	log       *telemetry.Log
-	metrics   *telemetry.Metrics
-	leaves    Leaves
-	executor  *executor.Executor
-	lifecycle lifecycle.Lifecycle
-	control   *control
-	fleet     *members
-	peers     *peer.Client
-	slow      *slowleaves.Exchange
-	forwarder *forwarding.Forwarder
-	gateway   *gateway.Gateway
-	view      atomic.Pointer[view.View]
-	current   atomic.Pointer[time.Time] // until when the view's configuration is the newest
-	limits    atomic.Pointer[catalog.Limits]
-	tunables  atomic.Pointer[Tunables]
+	config           Config
+	log              *telemetry.Log
+	metrics          *telemetry.Metrics
+	leaves           Leaves
+	executor         *executor.Executor
+	lifecycle        lifecycle.Lifecycle
+	control          *control
+	membership       *membership
+	peers            *peer.Client
+	slowLeaves       *slowleaves.Exchange
+	forwarder        *forwarding.Forwarder
+	gateway          *gateway.Gateway
+	view             atomic.Pointer[view.View]
+	configFreshUntil atomic.Pointer[time.Time] // until then the view's configuration counts as the newest
+	limits           atomic.Pointer[catalog.Limits]
+	tunables         atomic.Pointer[Tunables]
 }
 
-// hostedPolicies are the policies of a hosted instance.
-var hostedPolicies = executor.Policies{
+// policies are the policies that a hosted instance uses.
+var policies = executor.Policies{
 	Dispatch:   dispatch.Policies{Routing: "nearest", Order: "adaptive", Limit: "adaptive"},
 	Repetition: "objective",
 }
 
 const (
-	// lostToSuspect is the number of leaves that must be lost under a request before it
-	// is suspected: two are lost to one request when two leaves crash or reset
-	// connections at about the same time, which three hardly do.
+	// lostToSuspect is the number of leaves that must be lost while they run a request before
+	// the request is suspected of breaking leaves. One request can lose two by chance, when two
+	// leaves crash or reset connections at about the same time; three hardly ever do.
 	lostToSuspect = 3
-	// quarantineFor is how long a request that breaks leaves is refused before one leaf
-	// is risked again. It is short, since the losses may have had another cause that all
-	// leaves of the service share.
+	// quarantineFor is how long a request that breaks leaves is refused before it is tried on
+	// one leaf again. It is short because the losses may have another cause that all leaves of
+	// the service share.
 	quarantineFor = 15 * time.Second
 )
 
-// combinerName is the combiner of answers over shards.
+// combinerName is the policy that combines the answers of the shards.
 const combinerName = "greatest-records"
 
-// New assembles an instance. It does no I/O but opening the log.
+// New assembles an instance. Its only I/O is opening the log.
 func New(c Config) (*Node, error) {
 	log, err := telemetry.NewLog(c.LogSink, c.Log)
 	if err != nil {
 		return nil, err
 	}
-	if err := hostedPolicies.Check(); err != nil {
+	if err := policies.Check(); err != nil {
 		return nil, err
 	}
 	if c.Metrics == nil {
@@ -156,18 +156,18 @@
 	}
 	n := &Node{config: c, log: log, metrics: c.Metrics}
 	n.tunables.Store(&c.Tunables)
-	n.fleet = newMembers(n)
-	n.slow = slowleaves.New()
-	n.peers = peer.NewClient(peer.ClientConfig{Instance: c.Instance, Key: c.PeerKey, DialTimeout: syncTimeout, Silence: syncTimeout})
+	n.membership = newMembership(n)
+	n.slowLeaves = slowleaves.New()
+	n.peers = peer.NewClient(peer.ClientConfig{Instance: c.Instance, Key: c.PeerKey, DialTimeout: peerSilenceTimeout, Silence: peerSilenceTimeout})
 	n.control = newControl(n)
-	n.leaves = c.NewLeaves(n.control.leafGone)
+	n.leaves = c.NewLeaves(n.control.reportLeafGone)
 	n.forwarder = forwarding.New(forwarding.Config{
-		Zone: c.Zone, Fleet: n.fleet, Views: n, Lifecycle: &n.lifecycle, Peers: n.peers, Power: c.CPUs, Log: log, SyncNow: n.control.syncNow,
+		Zone: c.Zone, Fleet: n.membership, Views: n, Lifecycle: &n.lifecycle, Peers: n.peers, Power: c.CPUs, Log: log, SyncNow: n.control.syncNow,
 	})
 	n.executor = executor.New(executor.Config{
-		Leaves: n.leaves, LeafObserver: n.control, Log: log, Metrics: n.metrics, Policies: hostedPolicies,
+		Leaves: n.leaves, LeafObserver: n.control, Log: log, Metrics: n.metrics, Policies: policies,
 		Zone: c.Zone, Seed: uint64(time.Now().UnixNano()), FleetKey: c.PeerKey,
-		RepeatSlack: n.fleet.repeatSlack, Gatherer: n.forwarder, Ages: n.ages, LostToSuspect: lostToSuspect, QuarantineFor: quarantineFor,
+		RepeatSlack: n.membership.repeatSlack, Gatherer: n.forwarder, Ages: n.ages, LostToSuspect: lostToSuspect, QuarantineFor: quarantineFor,
 	})
 	newCombiner, err := plugin.Combiners.Get(combinerName)
 	if err != nil {
@@ -181,7 +181,8 @@
 	return n, nil
 }
 
-// ages are those of the configuration and of the list of leaves in force.
+// ages returns the ages of the configuration and of the list of leaves in force, or zeros
+// before there is any state.
 func (n *Node) ages() (config, leaves time.Duration) {
 	state := n.control.state.Load()
 	if state == nil {
@@ -191,16 +192,16 @@
 	return now.Sub(state.Known.ConfigAt), now.Sub(state.Known.LeavesAt)
 }
 
-// Log returns the logger of a part.
+// Log returns the logger of a part of the instance.
 func (n *Node) Log(part string) *telemetry.Part { return n.log.Part(part) }
 
-// ApplyTunables puts changed settings in force.
+// ApplyTunables puts changed tunables in force.
 func (n *Node) ApplyTunables(t Tunables) {
 	n.tunables.Store(&t)
-	n.control.offer(retuned{t.Catalog})
+	n.control.trySend(retuned{t.Catalog})
 }
 
-// Run serves until stop is closed and the graceful end, or until the context ends.
+// Run serves until stop is closed and the instance has drained, or until the context ends.
 func (n *Node) Run(ctx context.Context, stop <-chan struct{}) error {
 	defer n.close()
 	clients, err := n.listen(ctx, n.config.Listen)
@@ -228,8 +229,8 @@
 	}
 	g.Go(func() error { return n.peerServer().Serve(ctx, peers) })
 	g.Go(func() error { return n.control.run(ctx) })
-	g.Go(func() error { return n.fleet.announce(ctx) })
-	g.Go(func() error { return n.forwarder.KeepConnected(ctx, n.fleet.known) })
+	g.Go(func() error { return n.membership.keepAnnounced(ctx) })
+	g.Go(func() error { return n.forwarder.KeepConnected(ctx, n.membership.listKnown) })
 	g.Go(func() error {
 		select {
 		case <-stop:
@@ -247,7 +248,7 @@
 	return err
 }
 
-// close gives up what New opened.
+// close releases what New opened.
 func (n *Node) close() {
 	n.leaves.Close()
 	n.peers.Close()
--- a/entry/hosted/listen_test.go
+++ b/entry/hosted/listen_test.go
@@ -9,8 +9,8 @@
 	"github.com/fuchsiaroad/fuchsiaroad/entry/telemetry"
 )
 
-// TestAddressInUse lets an address be given up while it is waited for.
-func TestAddressInUse(t *testing.T) {
+// TestListenRetriesAddressInUse frees an address that is in use while listen retries it.
+func TestListenRetriesAddressInUse(t *testing.T) {
 	log, err := telemetry.NewLog(io.Discard, telemetry.Options{Level: "info"})
 	if err != nil {
 		t.Fatal(err)
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	address := first.Addr().String()
-	time.AfterFunc(3*listenAgain/2, func() { _ = first.Close() })
+	time.AfterFunc(3*listenRetryInterval/2, func() { _ = first.Close() })
 	l, err := n.listen(t.Context(), address)
 	if err != nil {
 		t.Fatalf("an address that was given up after a moment: %v", err)
--- a/entry/hosted/meters.go
+++ b/entry/hosted/meters.go
@@ -6,35 +6,35 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// stateMeter reports the instance's state as gauges. Not safe for concurrent use.
-type stateMeter struct {
+// stateGauges reports the instance's state as gauges. Not safe for concurrent use.
+type stateGauges struct {
 	scope tally.Scope
-	// labels are the last ones reported by observeAge.
+	// labels are those that updateStateAge reported last.
 	labels map[string]string
 }
 
-// notNow is the value of a gauge whose labels no longer apply.
-const notNow = -1
+// inactiveGaugeValue is the value of a gauge with labels that do not apply at present.
+const inactiveGaugeValue = -1
 
-// state is one look at the instance.
-type state struct {
-	source, role         string  // of the last newer state, and of this instance
+// gaugeValues holds the values of the gauges at one moment.
+type gaugeValues struct {
+	source, role         string  // source of the last newer state; role of this instance
 	configAge, leavesAge float64 // seconds
 	version              uint64
 	leaves, instances    int
 	connections          int
 	dials, logDrops      int64
-	running              int64
+	runningQueries       int64
 	slowLeaves           int
-	// repeatsLeft is the least number of repeats left at any of the limited shards.
-	repeatsLeft     float64
-	limitedShards   int
-	forward, gather float64 // seconds
+	// repeatsLeft is the smallest number of repeats left at any of the limited shards.
+	repeatsLeft               float64
+	limitedShards             int
+	forwardDelay, gatherDelay float64 // seconds
 }
 
-// observe updates the gauges.
-func (m *stateMeter) observe(s state) {
-	m.observeAge(s)
+// update sets all gauges.
+func (m *stateGauges) update(s gaugeValues) {
+	m.updateStateAge(s)
 	m.scope.Gauge("config_age_seconds").Update(s.configAge)
 	m.scope.Gauge("leaves_age_seconds").Update(s.leavesAge)
 	m.scope.Gauge("config_version").Update(float64(s.version))
@@ -46,19 +46,20 @@
 	if s.limitedShards > 0 {
 		m.scope.Gauge("repeats_left_least").Update(s.repeatsLeft)
 	}
-	m.scope.Gauge("hand_over_seconds").Update(s.forward)
-	m.scope.Gauge("gather_seconds").Update(s.gather)
-	m.scope.Gauge("queries_in_progress").Update(float64(s.running))
+	m.scope.Gauge("hand_over_seconds").Update(s.forwardDelay)
+	m.scope.Gauge("gather_seconds").Update(s.gatherDelay)
+	m.scope.Gauge("queries_in_progress").Update(float64(s.runningQueries))
 	m.scope.Gauge("log_lines_dropped").Update(float64(s.logDrops))
 }
 
-// observeAge reports the age of the older of configuration and leaves, and the version, by source
-// and role.
-func (m *stateMeter) observeAge(s state) {
+// updateStateAge sets the gauges of the state's age (the greater of those of configuration and
+// leaves) and version, labeled by source and role. Gauges of earlier labels become
+// inactiveGaugeValue.
+func (m *stateGauges) updateStateAge(s gaugeValues) {
 	labels := map[string]string{"source": s.source, "role": s.role}
 	if m.labels != nil && !maps.Equal(labels, m.labels) {
-		m.scope.Tagged(m.labels).Gauge("state_age_seconds").Update(notNow)
-		m.scope.Tagged(m.labels).Gauge("state_version").Update(notNow)
+		m.scope.Tagged(m.labels).Gauge("state_age_seconds").Update(inactiveGaugeValue)
+		m.scope.Tagged(m.labels).Gauge("state_version").Update(inactiveGaugeValue)
 	}
 	m.labels = labels
 	m.scope.Tagged(labels).Gauge("state_age_seconds").Update(max(s.configAge, s.leavesAge))
--- a/entry/hosted/meters_test.go
+++ b/entry/hosted/meters_test.go
@@ -7,13 +7,13 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// TestAgeIsToldBySourceAndRole has an instance change from the reader to a member: the gauges of
-// what it was say so.
-func TestAgeIsToldBySourceAndRole(t *testing.T) {
+// TestStateAgeGaugesResetOnRoleChange has an instance change from the reader to a member: the
+// gauges with its earlier labels become inactive.
+func TestStateAgeGaugesResetOnRoleChange(t *testing.T) {
 	scope := tally.NewTestScope("", nil)
-	m := stateMeter{scope: scope}
-	m.observe(state{source: sourceStore, role: "reader", configAge: 0.5, leavesAge: 0.7, version: 3})
-	m.observe(state{source: sourcePeer, role: "member", configAge: 1.5, leavesAge: 1.2, version: 4})
+	m := stateGauges{scope: scope}
+	m.update(gaugeValues{source: sourceStore, role: "reader", configAge: 0.5, leavesAge: 0.7, version: 3})
+	m.update(gaugeValues{source: sourcePeer, role: "member", configAge: 1.5, leavesAge: 1.2, version: 4})
 	got := make(map[string]float64)
 	for _, g := range scope.Snapshot().Gauges() {
 		if source := g.Tags()["source"]; source != "" {
@@ -21,7 +21,7 @@
 		}
 	}
 	for name, want := range map[string]float64{
-		"state_age_seconds store reader": notNow, "state_version store reader": notNow,
+		"state_age_seconds store reader": inactiveGaugeValue, "state_version store reader": inactiveGaugeValue,
 		"state_age_seconds peer member": 1.5, "state_version peer member": 4,
 	} {
 		if value, ok := got[name]; !ok || value != want {
@@ -30,14 +30,14 @@
 	}
 }
 
-// TestSourceOfState follows where the instances of a fleet have their state from: the reader from
-// the store, all others from another instance.
-func TestSourceOfState(t *testing.T) {
+// TestStateSourceOfReaderAndMembers checks the source of the state of each instance of a fleet: the
+// store for the reader, a peer for all others.
+func TestStateSourceOfReaderAndMembers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := settled(t, 12)
-		defer c.stopAll()
+		f := newSettledFleet(t, 12)
+		defer f.stopAll()
 		sources := make(map[string]int)
-		for _, r := range c.running {
+		for _, r := range f.running {
 			sources[r.node.control.stateSource()]++
 		}
 		if sources[sourceStore] != 1 || sources[sourcePeer] != 11 {
--- a/entry/hosted/publish.go
+++ b/entry/hosted/publish.go
@@ -14,7 +14,7 @@
 
 // Current implements gateway.Views.
 func (n *Node) Current() bool {
-	until := n.current.Load()
+	until := n.configFreshUntil.Load()
 	return until != nil && time.Now().Before(*until)
 }
 
@@ -26,19 +26,19 @@
 	return 0
 }
 
-// publish puts a new view in force. The connections' shares are those of the
-// view, and the executor knows it, before any query does.
+// publish puts a new view in force. The leaf connections and the executor follow
+// the new view before any query uses it.
 func (n *Node) publish(v *view.View, l catalog.Limits) {
-	n.leaves.Apply(targets(v, n.fleet.transient))
+	n.leaves.Apply(leafTargets(v, n.membership.usesTransientConnections))
 	n.executor.Follow(v)
 	n.limits.Store(&l)
 	n.view.Store(v)
 	n.lifecycle.Serve()
 }
 
-// targets lists the leaves of a view, each once. One that several upstreams ask has the
-// greatest of its shares.
-func targets(v *view.View, transient func(*document.Upstream) bool) []leafclient.Target {
+// leafTargets lists the leaves of a view, each once. A leaf of several upstreams gets the largest
+// of its connection shares, and is transient only if it is so for all of them.
+func leafTargets(v *view.View, transient func(*document.Upstream) bool) []leafclient.Target {
 	out := make([]leafclient.Target, 0, len(v.Leaves))
 	index := make(map[string]int, len(v.Leaves))
 	for i := range v.Leaves {
--- a/entry/hosted/quarantine_test.go
+++ b/entry/hosted/quarantinesync_test.go
@@ -15,12 +15,12 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/fleet"
 )
 
-// idle makes an instance that runs nothing of its own.
-func idle(t *testing.T) *Node {
+// newIdleNode makes an instance without running it.
+func newIdleNode(t *testing.T) *Node {
 	t.Helper()
 	n, err := New(Config{
 		Instance: "idle", Zone: "z", CPUs: 0.2, PeerKey: []byte("k"), Source: &fakeStore{},
-		NewLeaves: func(func(string)) Leaves { return noLeaves{} }, Tunables: Tunables{FreshnessBound: bound},
+		NewLeaves: func(func(string)) Leaves { return noLeaves{} }, Tunables: Tunables{FreshnessBound: testBound},
 		Log: telemetry.Options{Level: "info"}, LogSink: io.Discard,
 	})
 	if err != nil {
@@ -30,10 +30,10 @@
 	return n
 }
 
-// informed makes an instance that others can synchronize from, and its address.
-func informed(t *testing.T) (*Node, string) {
+// newSyncableNode makes an instance that others can synchronize from, and returns its address too.
+func newSyncableNode(t *testing.T) (*Node, string) {
 	t.Helper()
-	n := idle(t)
+	n := newIdleNode(t)
 	now := time.Now()
 	n.control.state.Store(&statesync.State{Known: catalog.LastReads{ConfigAt: now, LeavesAt: now}})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -54,9 +54,9 @@
 	return n, l.Addr().String()
 }
 
-// TestQuarantineIsTold lets an instance tell the one that it asks of a request that
-// breaks leaves, and a third one hear of it there.
-func TestQuarantineIsTold(t *testing.T) {
+// TestQuarantineSpreadsBySync has one instance report a request that breaks leaves to the
+// reader with its sync, and a third instance learn of the request by its own.
+func TestQuarantineSpreadsBySync(t *testing.T) {
 	const fingerprint, quarantined = "f00d", 2
 	knows := func(n *Node) bool {
 		for _, q := range n.executor.Quarantine() {
@@ -66,15 +66,15 @@
 		}
 		return false
 	}
-	reader, address := informed(t)
-	first, third := idle(t), idle(t)
+	reader, address := newSyncableNode(t)
+	first, third := newIdleNode(t), newIdleNode(t)
 	first.executor.MergeQuarantine([]peerapi.Quarantined{{Fingerprint: fingerprint, Level: quarantined, LeftMS: 10_000}})
 	if !knows(first) || knows(reader) || knows(third) {
 		t.Fatal("only the first instance is to know of the request")
 	}
 	from := fleet.Instance{Name: "reader", PeerAddress: address}
 	for _, n := range []*Node{first, third} {
-		if err := n.control.ask(t.Context(), from); err != nil {
+		if err := n.control.syncFrom(t.Context(), from); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/entry/hosted/ready.go
+++ b/entry/hosted/ready.go
@@ -10,7 +10,7 @@
 	"github.com/fuchsiaroad/fuchsiaroad/api/callerapi"
 )
 
-// readyServer answers the balancer, and serves the metrics.
+// readyServer serves the balancer's readiness checks and the metrics.
 func (n *Node) readyServer() *http.Server {
 	e := echo.New()
 	e.GET(n.config.ReadyPath, n.ready)
@@ -18,12 +18,12 @@
 	return &http.Server{Handler: e, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
 }
 
-// serveMetrics serves the metrics on an address of their own until the context
-// ends. Where the address can't be had they are still on the balancer's.
+// serveMetrics serves the metrics on a separate address until the context ends.
+// If it can't listen there it only logs this, since readyServer has the metrics too.
 func (n *Node) serveMetrics(ctx context.Context) error {
 	l, err := net.Listen("tcp", n.config.MetricsAddress)
 	if err != nil {
-		n.log.Part("node").Warn("metrics have no address of their own", "err", err)
+		n.log.Part("node").Warn("can't listen on the metrics address", "err", err)
 		return nil
 	}
 	e := echo.New()
@@ -31,7 +31,7 @@
 	return serveUntil(ctx, &http.Server{Handler: e, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}, l)
 }
 
-// ready answers 503 with the reason while the balancer should send no one.
+// ready answers 503 with the reason while the balancer should send no requests.
 func (n *Node) ready(c echo.Context) error {
 	if reason := n.lifecycle.NotReady("no configuration yet"); reason != "" {
 		return c.String(http.StatusServiceUnavailable, reason+"\n")
--- a/entry/hosted/routes_bench_test.go
+++ b/entry/hosted/routes_bench_test.go
@@ -12,8 +12,9 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/document"
 )
 
-// manyRoutes is a configuration of n routes, the last one with a time-out of its own.
-func manyRoutes(version uint64, n int) *catalog.Config {
+// configWithRoutes makes a configuration of n routes, of which the last one has a time-out that
+// depends on the version.
+func configWithRoutes(version uint64, n int) *catalog.Config {
 	c := &catalog.Config{Version: version, Services: map[string]catalog.Service{"s": {Name: "s", ConnectionLimit: 50}}}
 	for i := range n {
 		c.Routes = append(c.Routes, &catalog.Route{
@@ -25,11 +26,11 @@
 	return c
 }
 
-// benchNode is an instance that is not run.
-func benchNode(b *testing.B) *Node {
+// newBenchNode makes an instance without running it.
+func newBenchNode(b *testing.B) *Node {
 	n, err := New(Config{
 		Instance: "i", Zone: "z", Source: &fakeStore{}, PeerKey: []byte("k"),
-		NewLeaves: func(func(string)) Leaves { return noLeaves{} }, Tunables: Tunables{FreshnessBound: bound},
+		NewLeaves: func(func(string)) Leaves { return noLeaves{} }, Tunables: Tunables{FreshnessBound: testBound},
 		Log: telemetry.Options{Level: "error", Format: "json"}, LogSink: io.Discard,
 	})
 	if err != nil {
@@ -39,21 +40,21 @@
 	return n
 }
 
-// routeCounts are those of a usual, a large and a very large configuration.
+// routeCounts are the numbers of routes of a usual, a large and a very large configuration.
 var routeCounts = []int{100, 5600, 20000}
 
-// BenchmarkLeafChangeAmongManyRoutes puts a list in force in which one leaf drains.
+// BenchmarkLeafChangeAmongManyRoutes puts a list in force in which one leaf has a new start time.
 func BenchmarkLeafChangeAmongManyRoutes(b *testing.B) {
 	for _, routes := range routeCounts {
 		b.Run(fmt.Sprint(routes), func(b *testing.B) {
-			c := benchNode(b).control
-			c.handle(configRead{config: manyRoutes(1, routes), began: time.Now()})
+			c := newBenchNode(b).control
+			c.handleMessage(configRead{config: configWithRoutes(1, routes), startedAt: time.Now()})
 			revision := uint64(0)
 			b.ReportAllocs()
 			for b.Loop() {
 				revision++
 				leaf := catalog.Leaf{ID: "x", Service: "s", Address: "10.0.0.1:1", Zone: "z", Slots: 2, StartMillis: int64(revision)}
-				c.handle(leavesRead{list: catalog.Listing{Leaves: []catalog.Leaf{leaf}, Revision: revision}, began: time.Now()})
+				c.handleMessage(leavesRead{list: catalog.Listing{Leaves: []catalog.Leaf{leaf}, Revision: revision}, startedAt: time.Now()})
 			}
 		})
 	}
@@ -64,19 +65,19 @@
 func BenchmarkRouteChangeAmongManyRoutes(b *testing.B) {
 	for _, routes := range routeCounts {
 		b.Run(fmt.Sprint(routes), func(b *testing.B) {
-			sender, receiver := benchNode(b).control, benchNode(b).control
-			list := leavesRead{list: catalog.Listing{Revision: 1}, began: time.Now()}
-			sender.handle(list)
-			receiver.handle(list)
+			sender, receiver := newBenchNode(b).control, newBenchNode(b).control
+			list := leavesRead{list: catalog.Listing{Revision: 1}, startedAt: time.Now()}
+			sender.handleMessage(list)
+			receiver.handleMessage(list)
 			version, sent := uint64(0), 0
-			configs := []*catalog.Config{manyRoutes(0, routes), manyRoutes(1, routes)}
+			configs := []*catalog.Config{configWithRoutes(0, routes), configWithRoutes(1, routes)}
 			var received statesync.Receiver
 			b.ReportAllocs()
 			for b.Loop() {
 				version++
 				config := *configs[version%2]
 				config.Version = version
-				sender.handle(configRead{config: &config, began: time.Now()})
+				sender.handleMessage(configRead{config: &config, startedAt: time.Now()})
 				base := receiver.state.Load().Config()
 				request := received.Request(base)
 				reply := sender.state.Load().Reply(&request, time.Now())
@@ -85,7 +86,7 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				receiver.handle(peerUpdate{update: update})
+				receiver.handleMessage(peerUpdate{update: update})
 				if got := receiver.state.Load().Config().Version; got != version {
 					b.Fatalf("version %d in force, want %d", got, version)
 				}
--- a/entry/hosted/serve.go
+++ b/entry/hosted/serve.go
@@ -12,34 +12,34 @@
 	"github.com/fuchsiaroad/fuchsiaroad/entry/gateway"
 )
 
-// Bounds of the clients' server that the configuration does not set.
+// Time-outs of the HTTP servers that the configuration does not set.
 const (
-	// headerTimeout bounds the reading of a request's head.
+	// headerTimeout bounds the reading of a request's header.
 	headerTimeout = 10 * time.Second
-	// idleTimeout is longer than any client keeps an unused connection, so that
-	// no request crosses the close of one.
+	// idleTimeout is longer than any client keeps an idle connection, so that the
+	// server never closes one while a request is on its way.
 	idleTimeout = 5 * time.Minute
 )
 
-// An address that is in use is tried again for listenFor, each listenAgain: whoever
-// has it, such as the process before this one, may just be going.
+// An address that is in use is tried again each listenRetryInterval, for listenRetryPeriod:
+// its owner, such as the previous process, may be about to end.
 const (
-	listenFor   = 3 * time.Second
-	listenAgain = 100 * time.Millisecond
+	listenRetryPeriod   = 3 * time.Second
+	listenRetryInterval = 100 * time.Millisecond
 )
 
-// listen opens a socket.
+// listen opens a listening TCP socket; it retries while the address is in use.
 func (n *Node) listen(ctx context.Context, address string) (net.Listener, error) {
-	for begin := time.Now(); ; sleep(ctx, listenAgain) {
+	for startedAt := time.Now(); ; sleep(ctx, listenRetryInterval) {
 		l, err := net.Listen("tcp", address)
-		if err == nil || ctx.Err() != nil || !errors.Is(err, syscall.EADDRINUSE) || time.Since(begin) >= listenFor {
+		if err == nil || ctx.Err() != nil || !errors.Is(err, syscall.EADDRINUSE) || time.Since(startedAt) >= listenRetryPeriod {
 			return l, err
 		}
-		n.log.Part("node").Warn("address is in use", "address", address, "for", time.Since(begin))
+		n.log.Part("node").Warn("address is in use", "address", address, "for", time.Since(startedAt))
 	}
 }
 
-// clientServer serves passed-on requests.
+// clientServer serves the requests of clients.
 func (n *Node) clientServer() *http.Server {
 	return &http.Server{
 		Handler: n.gateway, ConnContext: gateway.Connected,
@@ -47,8 +47,8 @@
 	}
 }
 
-// serveUntil serves until the context ends. Connections are closed then: the
-// graceful stop has come before.
+// serveUntil serves until the context ends, and then closes all connections at once:
+// the instance has been drained before.
 func serveUntil(ctx context.Context, s *http.Server, l net.Listener) error {
 	defer context.AfterFunc(ctx, func() { _ = s.Close() })()
 	err := s.Serve(l)
--- a/entry/hosted/stop.go
+++ b/entry/hosted/stop.go
@@ -7,46 +7,46 @@
 	"github.com/fuchsiaroad/fuchsiaroad/entry/lifecycle"
 )
 
-// Shares of the grace time of a stop.
+// Times of a stop; shares are of the grace period.
 const (
-	// leaveShare is for how long requests are still taken, so that the balancer
-	// has let go and clients have been asked to close their connections.
-	leaveShare = 0.7
-	// finishShare is when the instance ends at the latest. What is kept of the
-	// grace time covers a late timer.
-	finishShare = 0.95
-	// leastLeave is the least time to go on taking requests: the balancer lets
-	// go after two questions, one a second.
-	leastLeave = 2500 * time.Millisecond
+	// acceptShare is how long requests are still accepted at most, so that the balancer
+	// notices the stop and clients have been asked to close their connections.
+	acceptShare = 0.7
+	// endShare is when the instance ends at the latest. The rest of the grace period
+	// covers a timer that fires late.
+	endShare = 0.95
+	// minAcceptTime is how long requests are still accepted at least: the balancer stops
+	// sending them after two failed checks, one a second.
+	minAcceptTime = 2500 * time.Millisecond
 )
 
-// drain stops the instance without cutting a request off. Connections stay open
-// until the end: a client may always be about to use one, and its request is
-// answered, late ones with a true "not run".
+// drain stops the instance without cutting off a request. Connections stay open
+// until the end, because a client may be about to use one. Each request gets an
+// answer; one that comes too late is told correctly that it was not run.
 func (n *Node) drain(ctx context.Context) {
 	log := n.log.Part("node")
-	begin := time.Now()
+	startedAt := time.Now()
 	grace := n.tunables.Load().GracePeriod
 	n.lifecycle.Set(lifecycle.Leaving)
 	log.Info("leaving: still serving until the balancer has let go", "queries", n.executor.Running())
-	most := time.Duration(leaveShare * float64(grace))
-	sleep(ctx, min(leastLeave, most))
-	n.lifecycle.WaitQuiet(ctx, most-time.Since(begin))
+	maxAcceptTime := time.Duration(acceptShare * float64(grace))
+	sleep(ctx, min(minAcceptTime, maxAcceptTime))
+	n.lifecycle.WaitQuiet(ctx, maxAcceptTime-time.Since(startedAt))
 	n.lifecycle.Set(lifecycle.Refusing)
-	log.Info("finishing what is in flight", "queries", n.executor.Running(), "after", time.Since(begin))
-	finish, cancel := context.WithTimeout(ctx, time.Duration(finishShare*float64(grace))-time.Since(begin))
+	log.Info("finishing what is in flight", "queries", n.executor.Running(), "after", time.Since(startedAt))
+	finishCtx, cancel := context.WithTimeout(ctx, time.Duration(endShare*float64(grace))-time.Since(startedAt))
 	defer cancel()
-	if err := n.executor.Wait(finish); err != nil {
+	if err := n.executor.Wait(finishCtx); err != nil {
 		log.Error("requests were still in flight at the end", "queries", n.executor.Running())
 	}
-	sleep(ctx, min(flushTime, time.Duration(finishShare*float64(grace))-time.Since(begin)))
-	log.Info("stopped", "after", time.Since(begin))
+	sleep(ctx, min(flushDelay, time.Duration(endShare*float64(grace))-time.Since(startedAt)))
+	log.Info("stopped", "after", time.Since(startedAt))
 }
 
-// flushTime lets the last answers leave before their connections are closed.
-const flushTime = 50 * time.Millisecond
+// flushDelay gives the last answers time to be sent before their connections are closed.
+const flushDelay = 50 * time.Millisecond
 
-// sleep waits for d, or less when the context ends.
+// sleep waits for d, or until the context ends.
 func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/entry/hosted/stop_test.go
+++ b/entry/hosted/stop_test.go
@@ -13,10 +13,10 @@
 	"github.com/fuchsiaroad/fuchsiaroad/entry/telemetry"
 )
 
-// TestStopEndsWithinTheGrace stops an instance while the store, or the instances that it
-// learns from, say nothing, and while requests keep coming: it ends within the grace time,
-// and takes requests until the balancer has let go.
-func TestStopEndsWithinTheGrace(t *testing.T) {
+// TestStopEndsWithinGracePeriod stops an instance whose peers never answer, also while the store
+// does not answer or requests keep coming. It ends within the grace period, and accepts requests
+// long enough for the balancer to notice the stop.
+func TestStopEndsWithinGracePeriod(t *testing.T) {
 	const grace = 6 * time.Second
 	for _, tc := range []struct {
 		name     string
@@ -27,13 +27,13 @@
 			store := &fakeStore{version: 1}
 			n, err := New(Config{
 				Instance: "i", Zone: "z", Source: store, PeerKey: []byte("k"), PeerAddress: "10.0.0.1:1", Seeds: []string{"10.0.0.2:1"},
-				NewLeaves: func(func(string)) Leaves { return noLeaves{} }, Tunables: Tunables{FreshnessBound: bound, GracePeriod: grace},
+				NewLeaves: func(func(string)) Leaves { return noLeaves{} }, Tunables: Tunables{FreshnessBound: testBound, GracePeriod: grace},
 				Log: telemetry.Options{Level: "info"}, LogSink: io.Discard,
 			})
 			if err != nil {
 				t.Fatal(err)
 			}
-			n.control.peers = nobody{}
+			n.control.peers = silentPeers{}
 			ctx, cancel := context.WithCancel(context.Background())
 			ended := make(chan struct{})
 			go func() {
@@ -41,18 +41,18 @@
 				_ = n.control.run(ctx)
 			}()
 			time.Sleep(2 * time.Second)
-			store.set(func(s *fakeStore) { s.silent = tc.silent })
+			store.update(func(s *fakeStore) { s.silent = tc.silent })
 			stopArrivals := make(chan struct{})
 			if tc.arriving {
-				go arrive(n, stopArrivals)
+				go sendArrivals(n, stopArrivals)
 			}
 			began := time.Now()
 			n.drain(ctx)
 			cancel()
 			<-ended
 			close(stopArrivals)
-			if took := time.Since(began); took >= grace || took < leastLeave {
-				t.Errorf("%s: ended after %v, want %v to %v", tc.name, took, leastLeave, grace)
+			if took := time.Since(began); took >= grace || took < minAcceptTime {
+				t.Errorf("%s: ended after %v, want %v to %v", tc.name, took, minAcceptTime, grace)
 			}
 			if n.lifecycle.Get() != lifecycle.Refusing {
 				t.Errorf("%s: requests are still taken at the end", tc.name)
@@ -63,8 +63,8 @@
 	}
 }
 
-// arrive notes a request each 100 ms.
-func arrive(n *Node, stop <-chan struct{}) {
+// sendArrivals records the arrival of a request each 100 ms.
+func sendArrivals(n *Node, stop <-chan struct{}) {
 	for {
 		select {
 		case <-stop:
@@ -75,11 +75,11 @@
 	}
 }
 
-// nobody is a fleet whose instances don't answer in time.
-type nobody struct{}
+// silentPeers are peers that don't answer in time.
+type silentPeers struct{}
 
 // Sync implements syncPeers.
-func (nobody) Sync(ctx context.Context, _ peer.Target, _ peerapi.SyncRequest) (*peerapi.SyncReply, error) {
+func (silentPeers) Sync(ctx context.Context, _ peer.Target, _ peerapi.SyncRequest) (*peerapi.SyncReply, error) {
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
--- a/entry/hosted/sync.go
+++ b/entry/hosted/sync.go
@@ -14,22 +14,22 @@
 )
 
 const (
-	// syncTimeout bounds the silence of a peer, which answers in less than a millisecond
-	// when it is well. syncShare is the share of the bound that an answer may take which
-	// arrives all the while: a large one does on a full link.
-	syncTimeout = 250 * time.Millisecond
-	syncShare   = 0.3
-	// fresherBy is by how much newer a peer's state must be to be worth asking for.
-	fresherBy = time.Second
+	// peerSilenceTimeout bounds the time in which a peer sends nothing; a healthy one answers in
+	// less than a millisecond. syncTimeoutShare, a share of the freshness bound, bounds an answer
+	// that keeps arriving, as a large one does on a saturated link.
+	peerSilenceTimeout = 250 * time.Millisecond
+	syncTimeoutShare   = 0.3
+	// minFreshnessGain is by how much fresher a peer's state must be for this instance to ask for it.
+	minFreshnessGain = time.Second
 )
 
-// peerServer answers other instances.
+// peerServer serves the calls of other instances.
 func (n *Node) peerServer() *peer.Server {
 	return peer.NewServer(peer.ServerConfig{Instance: n.config.Instance, Key: n.config.PeerKey, Sync: n, Forward: n.forwarder})
 }
 
-// Sync implements peer.SyncHandler. An instance that leaves knows nothing: others are
-// to ask elsewhere in time.
+// Sync implements peer.SyncHandler. A leaving instance answers that it has no state, so that
+// others synchronize elsewhere before it ends.
 func (n *Node) Sync(from string, r peerapi.SyncRequest) *peerapi.SyncReply {
 	s := n.control.state.Load()
 	if s == nil || n.lifecycle.Leaving() {
@@ -37,80 +37,81 @@
 	}
 	now := time.Now()
 	out := s.Reply(&r, now)
-	n.fleet.write(&r, out, now)
-	n.slow.Observe(r.Seen, now)
-	out.Slow = n.slow.Report(now)
+	n.membership.writeList(&r, out, now)
+	n.slowLeaves.Observe(r.Seen, now)
+	out.Slow = n.slowLeaves.Report(now)
 	n.executor.MergeQuarantine(r.Quarantine)
 	out.Quarantine = n.executor.Quarantine()
-	n.control.compare(from, r.AgeMS, max(out.ConfigAgeMS, out.LeavesAgeMS))
+	n.control.recordFresherPeer(from, r.AgeMS, max(out.ConfigAgeMS, out.LeavesAgeMS))
 	return out
 }
 
-// shareObservations collects what the executor saw, and passes on what others did.
+// shareObservations collects the executor's observations of slow leaves to be sent to peers, and
+// tells the executor which leaves are slow by those of all instances.
 func (n *Node) shareObservations() {
 	now := time.Now()
-	n.slow.Add(n.executor.Observations(), now)
-	if slow := n.slow.Slow(now); len(slow) > 0 {
+	n.slowLeaves.Add(n.executor.Observations(), now)
+	if slow := n.slowLeaves.Slow(now); len(slow) > 0 {
 		n.executor.ReportSlow(slow)
 	}
 }
 
-// staleStateError says that a peer's state is old.
+// staleStateError says that a state, a peer's or this instance's own, is stale.
 type staleStateError struct{ age time.Duration }
 
-// Error implements error.
+// Error returns the age of the state.
 func (e *staleStateError) Error() string { return fmt.Sprintf("state is %v old", e.age) }
 
-// errUnknownState says that a peer knows nothing, or leaves.
-var errUnknownState = errors.New("knows nothing yet, or leaves")
+// errUnknownState says that a peer has no state, or is leaving.
+var errUnknownState = errors.New("has no state yet, or is leaving")
 
-// stale reports whether an error says that a peer is well but its state is old.
-func stale(err error) bool {
+// isStaleState reports whether an error says that a peer answered but its state is stale.
+func isStaleState(err error) bool {
 	var s *staleStateError
 	return errors.As(err, &s)
 }
 
-// ask synchronizes from a peer. Old state is taken too, as it is never taken for newer
-// than it is, and reported as an error: an instance that starts in an outage serves by it.
-func (c *control) ask(ctx context.Context, from fleet.Instance) error {
-	ctx, cancel := context.WithTimeout(ctx, c.bound(syncShare))
+// syncFrom synchronizes from a peer. Stale state is accepted too, with its true age, and reported
+// as a staleStateError: an instance that starts during an outage of the store serves by it.
+func (c *control) syncFrom(ctx context.Context, source fleet.Instance) error {
+	ctx, cancel := context.WithTimeout(ctx, c.boundShare(syncTimeoutShare))
 	defer cancel()
-	began := time.Now()
-	base := c.storeLists.Load()
-	if base != c.receiverBase {
+	startedAt := time.Now()
+	listChanges := c.storeListChanges.Load()
+	if listChanges != c.receiverListChanges {
 		c.receiver.Forget()
-		c.receiverBase = base
+		c.receiverListChanges = listChanges
 	}
 	config := c.state.Load().Config()
 	request := c.receiver.Request(config)
-	request.Fleet, request.AgeMS = c.node.fleet.hash(), c.ageMS(began)
-	request.Seen, request.Quarantine = c.node.slow.TakePending(began), c.node.executor.Quarantine()
-	reply, err := c.peers.Sync(ctx, peer.Target{Instance: from.Name, Address: from.PeerAddress}, request)
+	request.Fleet, request.AgeMS = c.node.membership.listHash(), c.stateAgeMS(startedAt)
+	request.Seen, request.Quarantine = c.node.slowLeaves.TakePending(startedAt), c.node.executor.Quarantine()
+	reply, err := c.peers.Sync(ctx, peer.Target{Instance: source.Name, Address: source.PeerAddress}, request)
 	if err != nil {
 		return err
 	}
 	c.node.executor.MergeQuarantine(reply.Quarantine)
-	update, err := c.receiver.Take(reply, config, began, time.Now())
+	update, err := c.receiver.Take(reply, config, startedAt, time.Now())
 	if err != nil {
 		return err
 	}
 	if !update.Knows() {
 		return errUnknownState
 	}
-	c.node.slow.SetReported(reply.Slow, began)
-	c.node.fleet.received(update)
-	if err := c.post(ctx, peerUpdate{update: update, peer: cmp.Or(from.Name, from.PeerAddress), base: base}); err != nil {
-		c.receiver.Forget() // the catalog has not got it
+	c.node.slowLeaves.SetReported(reply.Slow, startedAt)
+	c.node.membership.applyPeerList(update)
+	if err := c.send(ctx, peerUpdate{update: update, peer: cmp.Or(source.Name, source.PeerAddress), storeListChanges: listChanges}); err != nil {
+		c.receiver.Forget() // the catalog did not receive the update
 		return err
 	}
-	if age := update.Age(time.Now()); age > c.bound(staleShare) {
+	if age := update.Age(time.Now()); age > c.boundShare(staleShare) {
 		return &staleStateError{age}
 	}
 	return nil
 }
 
-// ageMS is the age of what this instance knows; -1 while it knows nothing.
-func (c *control) ageMS(now time.Time) int64 {
+// stateAgeMS returns the age of this instance's state in milliseconds; -1 while it has none.
+func (c *control) stateAgeMS(now time.Time) int64 {
 	s := c.state.Load()
 	if s == nil {
 		return -1
@@ -122,54 +123,54 @@
 	return max(config, leaves)
 }
 
-// age is that of what this instance knows; as good as endless while it knows nothing.
-func (c *control) age() time.Duration {
-	age := c.ageMS(time.Now())
+// stateAge returns the age of this instance's state; unknownAge while it has none.
+func (c *control) stateAge() time.Duration {
+	age := c.stateAgeMS(time.Now())
 	if age < 0 {
 		return unknownAge
 	}
-	return ms(age)
+	return milliseconds(age)
 }
 
-// unknownAge is over any bound.
+// unknownAge is the age of missing state, greater than any freshness bound.
 const unknownAge = 24 * time.Hour
 
-// compare takes the age of what an asking instance knows. While this one's own state is
-// old, it asks one that knows better: so what one instance could read reaches those that
-// the store refuses.
-func (c *control) compare(from string, theirsMS, oursMS int64) {
-	theirs, ours := ms(theirsMS), ms(oursMS)
-	if theirsMS < 0 || ours < c.bound(staleShare) || theirs+fresherBy > ours {
+// recordFresherPeer remembers a peer that asked and has fresher state, if this instance's own state is
+// stale, and requests a synchronization from it. This is how the state that one instance could
+// read reaches those that the store refuses.
+func (c *control) recordFresherPeer(peerName string, theirsMS, oursMS int64) {
+	theirs, ours := milliseconds(theirsMS), milliseconds(oursMS)
+	if theirsMS < 0 || ours < c.boundShare(staleShare) || theirs+minFreshnessGain > ours {
 		return
 	}
-	if i, ok := c.node.fleet.find(from); ok {
-		c.log.Info("fresher state offered", "peer", from, "age", theirs, "own_age", ours)
-		c.suggested.Store(&i)
+	if i, ok := c.node.membership.find(peerName); ok {
+		c.log.Info("fresher state offered", "peer", peerName, "age", theirs, "own_age", ours)
+		c.fresherPeer.Store(&i)
 		c.syncNow()
 	}
 }
 
-// ms converts milliseconds of the wire.
-func ms(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
+// milliseconds converts a number of milliseconds to a duration.
+func milliseconds(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// takeUpdate puts a peer's state into the catalog and reports whether anything changed.
-func (c *control) takeUpdate(m peerUpdate, now time.Time) bool {
+// applyUpdate applies a peer's state to the catalog and reports whether anything changed.
+func (c *control) applyUpdate(m peerUpdate, now time.Time) bool {
 	u := m.update
-	configFrom, leavesFrom := origin{peer: m.peer, began: u.ConfigAt, byChange: u.ByChange}, origin{peer: m.peer, began: u.LeavesAt}
+	configFrom, leavesFrom := stateOrigin{peer: m.peer, readStartedAt: u.ConfigAt, isDelta: u.ByChange}, stateOrigin{peer: m.peer, readStartedAt: u.LeavesAt}
 	changed := false
 	if u.Config != nil {
-		changed = c.takeConfig(u.Config, configFrom, now)
+		changed = c.applyConfig(u.Config, configFrom, now)
 	} else if u.Version == 0 {
 		c.catalog.RecordConfigMissing(u.ConfigAt)
 	} else if u.Version == c.catalog.Version() {
-		changed = c.takeConfig(c.catalog.Config(), configFrom, now)
+		changed = c.applyConfig(c.catalog.Config(), configFrom, now)
 	}
 	switch {
 	case u.Differs:
-		return c.takeLeaves(u.List, leavesFrom, now) || changed
-	case m.base == c.storeLists.Load():
+		return c.applyLeaves(u.List, leavesFrom, now) || changed
+	case m.storeListChanges == c.storeListChanges.Load():
 		return c.catalog.ConfirmLeaves(u.List.Revision, u.LeavesAt) || changed
-	default: // the list in force is another by now
+	default: // the list in force has changed since the peer was asked
 		return changed
 	}
 }
