--- a/entry/hosted/hosted.go
+++ b/entry/hosted/hosted.go
@@ -63,26 +63,27 @@
 type Config struct {
 	Instance string
 	Zone     string
-	// Listen is the clients' address, ReadyAddress that of the balancer's questions and
-	// of the metrics.
+	// Listen is the address for clients, ReadyAddress that for the balancer's readiness checks
+	// and the metrics; both are host:port.
 	Listen, ReadyAddress string
 	// PeerAddress is the address at which other instances reach this one.
 	PeerAddress string
-	// PeerKey is the secret that instances prove to each other.
+	// PeerKey is the shared secret with which instances authenticate each other.
 	PeerKey []byte
 	// Seeds are peer addresses of instances that a starting instance asks for the state and
 	// the list of instances. They may be outdated or down, and may include its own address.
 	Seeds []string
-	// Bootstrap says that all instances start, for the first time.
+	// Bootstrap says that all instances of the fleet start for the first time.
 	Bootstrap bool
-	// CPUs is the share of a core that this instance has; 0: not known.
+	// CPUs is the number of CPU cores that this instance has, often a fraction; 0: not known.
 	CPUs float64
-	// ReadyPath is the path of the balancer's question.
+	// ReadyPath is the path of the balancer's readiness check.
 	ReadyPath string
 	Source    Source
-	// MetricsAddress is an address of its own for the metrics, IP:port; empty: none.
+	// MetricsAddress is a separate address for the metrics, IP:port; empty: none.
 	MetricsAddress string
-	// Metrics are those that the source's client counts with; nil makes some.
+	// Metrics are the metrics of the instance, which the source's client may use too; New makes
+	// them if nil.
 	Metrics *telemetry.Metrics
 	// NewLeaves makes the client of the leaf protocol, which may call gone from any
 	// goroutine for a leaf that indicates that it takes no more work.
@@ -98,7 +99,7 @@
 	Catalog catalog.Settings
 	// FreshnessBound is the time within which a change in the store must be in force.
 	FreshnessBound time.Duration
-	// GracePeriod is the time between the word to stop and the end.
+	// GracePeriod is the time in which an instance that is told to stop must have ended.
 	GracePeriod time.Duration
 }
 
--- a/entry/hosted/sync.go
+++ b/entry/hosted/sync.go
@@ -59,7 +59,7 @@
 // staleStateError says that a state, a peer's or this instance's own, is stale.
 type staleStateError struct{ age time.Duration }
 
-// Error returns the age of the state.
+// Error implements error.
 func (e *staleStateError) Error() string { return fmt.Sprintf("state is %v old", e.age) }
 
 // errUnknownState says that a peer has no state, or is leaving.
