--- a/spec/news.pml
+++ b/spec/news.pml
@@ -89,7 +89,7 @@
 		:: read[i] -> over(i)   /* it failed */
 		:: else -> skip
 		fi; i = 0; v = 0 }
-	/* control.ask: the call begins, the other instance answers, the answer arrives. */
+	/* control.syncFrom: the call begins, the other instance answers, the answer arrives. */
 	:: atomic {
 		select(i : 0 .. INSTANCES - 1);
 		j = INSTANCES - 1 - i;
