--- a/kernel/gather/gather.go
+++ b/kernel/gather/gather.go
@@ -8,7 +8,7 @@
 // minGroupSize is the number of shards from which delegating a group saves bytes between
 // zones, whatever the size of their replies: four sub-requests with their replies are
 // 1.5 to 5.1 KB, and the messages of a group of four 0.8 to 1.7 KB
-// (TestGroupPaysFromFourParts).
+// (TestGroupMessagesAreSmallerFromFourParts).
 const minGroupSize = 4
 
 // Group is the shards that an instance of one zone is to gather.
