--- a/api/callerapi/callerapi.go
+++ b/api/callerapi/callerapi.go
@@ -30,8 +30,8 @@
 	Range    keyrange.Range `json:"range"`
 }
 
-// Missing is a part without data and the reason.
-type Missing struct {
+// MissingPart is a part without data and the reason.
+type MissingPart struct {
 	Part
 	Reason string `json:"reason"`
 }
@@ -39,9 +39,9 @@
 // Result is one shard's reply.
 type Result struct {
 	Part
-	// More lists further ranges that the body covers; usually absent.
-	More []keyrange.Range `json:"more,omitempty"`
-	Body []byte           `json:"body"` // base64 in JSON
+	// MoreRanges lists further ranges that the body covers; usually absent.
+	MoreRanges []keyrange.Range `json:"more,omitempty"`
+	Body       []byte           `json:"body"` // base64 in JSON
 }
 
 // Timing is how long the parts of the work took, in microseconds.
@@ -58,13 +58,13 @@
 
 // Answer is the body of every answered query, of any outcome.
 type Answer struct {
-	Request string    `json:"request"`
-	Outcome string    `json:"outcome"` // complete, partial, not_run, unknown, failed
-	Version uint64    `json:"version,omitempty"`
-	Share   float64   `json:"share"`
-	Covered []Part    `json:"covered"`
-	Missing []Missing `json:"missing"`
-	Results []Result  `json:"results"`
+	Request string        `json:"request"`
+	Outcome string        `json:"outcome"` // complete, partial, not_run, unknown, failed
+	Version uint64        `json:"version,omitempty"`
+	Share   float64       `json:"share"`
+	Covered []Part        `json:"covered"`
+	Missing []MissingPart `json:"missing"`
+	Results []Result      `json:"results"`
 	// Replayed says that this is the recorded outcome of an earlier request
 	// with the same Idempotency-Key; results are then absent.
 	Replayed bool   `json:"replayed,omitempty"`
--- a/api/leafapi/leafapi.go
+++ b/api/leafapi/leafapi.go
@@ -25,13 +25,13 @@
 
 // Reply headers.
 const (
-	HeaderRanges    = "Fuchsiaroad-Ranges"     // ranges covered by a reply, or held by a leaf that declines
-	HeaderVersions  = "Fuchsiaroad-Versions"   // index versions served now, comma-separated
-	HeaderDraining  = "Fuchsiaroad-Draining"   // "1": the leaf is leaving
-	HeaderBorn      = "Fuchsiaroad-Born"       // Unix ms of the leaf's start by its own clock; absent: not reported
-	HeaderNotRun    = "Fuchsiaroad-Not-Run"    // a Decline: the request provably did not run
-	HeaderChecksum  = "Fuchsiaroad-Checksum"   // xxhash64 of the body, 16 hex digits
-	HeaderServiceUS = "Fuchsiaroad-Service-Us" // microseconds the request held a slot
+	HeaderRanges      = "Fuchsiaroad-Ranges"     // ranges covered by a reply, or held by a leaf that declines
+	HeaderVersions    = "Fuchsiaroad-Versions"   // index versions served now, comma-separated
+	HeaderDraining    = "Fuchsiaroad-Draining"   // "1": the leaf is leaving
+	HeaderStartMillis = "Fuchsiaroad-Born"       // Unix ms of the leaf's start by its own clock; absent: not reported
+	HeaderNotRun      = "Fuchsiaroad-Not-Run"    // a Decline: the request provably did not run
+	HeaderChecksum    = "Fuchsiaroad-Checksum"   // xxhash64 of the body, 16 hex digits
+	HeaderServiceUS   = "Fuchsiaroad-Service-Us" // microseconds the request held a slot
 )
 
 // Decline is the value of HeaderNotRun.
@@ -52,8 +52,8 @@
 	Ready    bool     `json:"ready"`
 	Draining bool     `json:"draining"`
 	Versions []uint64 `json:"versions"`
-	// Born is the Unix millisecond of the leaf's start by its own clock; 0: not reported.
-	Born int64 `json:"born,omitempty"`
+	// StartMillis is the Unix millisecond of the leaf's start by its own clock; 0: not reported.
+	StartMillis int64 `json:"born,omitempty"`
 }
 
 // Load is the answer of PathLoad. It may lag or mislead.
@@ -62,9 +62,9 @@
 	Queued   int `json:"queued"`
 }
 
-// ParseBorn reads a HeaderBorn value; 0 stands for one that is absent or malformed, since
+// ParseStartMillis reads a HeaderBorn value; 0 stands for one that is absent or malformed, since
 // a birth is only ever compared with another.
-func ParseBorn(s string) int64 {
+func ParseStartMillis(s string) int64 {
 	born, err := strconv.ParseInt(s, 10, 64)
 	if err != nil || born < 0 {
 		return 0
--- a/api/peerapi/peerapi.go
+++ b/api/peerapi/peerapi.go
@@ -42,30 +42,30 @@
 	Generation uint64 `json:"generation"`
 	Hash       string `json:"hash"`
 	Draining   bool   `json:"draining,omitempty"`
-	// Leaving lists leaves seen to be leaving, most recent first.
-	Leaving []LeavingLeaf `json:"leaving,omitempty"`
+	// DrainMarks lists leaves seen to be leaving, most recent first.
+	DrainMarks []DrainMark `json:"leaving,omitempty"`
 	// Quarantine lists quarantined fingerprints and suspects.
-	Quarantine []Quarantined `json:"quarantine,omitempty"`
+	Quarantine []QuarantineRecord `json:"quarantine,omitempty"`
 	// Generations is a sample of other instances' generations in force.
 	Generations []InstanceGeneration `json:"generations,omitempty"`
 }
 
-// LeavingLeaf is one leaf's drain mark with the age of its last observation.
-type LeavingLeaf struct {
+// DrainMark is one leaf's drain mark with the age of its last observation.
+type DrainMark struct {
 	Leaf string `json:"leaf"`
-	// Born is the start of the leaf that the mark is of, 0: not known.
-	Born  int64 `json:"born,omitempty"`
-	AgeMS int64 `json:"age_ms"`
+	// StartMillis is the start of the leaf that the mark is of, 0: not known.
+	StartMillis int64 `json:"born,omitempty"`
+	AgeMS       int64 `json:"age_ms"`
 }
 
-// Quarantined is a fingerprint's record. The fingerprint is a keyed hash: it
+// QuarantineRecord is a fingerprint's record. The fingerprint is a keyed hash: it
 // says nothing of the caller's request.
-type Quarantined struct {
+type QuarantineRecord struct {
 	Fingerprint string `json:"fp"`
 	// Level is the record's place on the ladder of kernel/quarantine: its remainder
 	// by 3 says clear, suspect or in quarantine, and the greater level wins.
-	Level  int   `json:"level"`
-	LeftMS int64 `json:"left_ms"`
+	Level       int   `json:"level"`
+	RemainingMS int64 `json:"left_ms"`
 }
 
 // InstanceGeneration is one instance's generation, relayed.
@@ -77,7 +77,7 @@
 
 // DocumentRequest asks for the document in force, if newer than Above.
 type DocumentRequest struct {
-	Above uint64 `json:"above"`
+	AboveGeneration uint64 `json:"above"`
 }
 
 // Document is a configuration document with its generation; empty if not newer.
@@ -92,23 +92,23 @@
 type SyncRequest struct {
 	// Version is the configuration in force, 0 for none.
 	Version uint64 `json:"version"`
-	// Changes says that the asking instance takes a change of that version.
-	Changes bool `json:"changes,omitempty"`
-	// Hash is that of the list of leaves received last, 0 for none.
-	Hash uint64 `json:"hash"`
-	// Fleet is that of the list of instances in force, 0 for none.
-	Fleet uint64 `json:"fleet"`
+	// AcceptsChange says that the asking instance takes a change of that version.
+	AcceptsChange bool `json:"changes,omitempty"`
+	// LeavesHash is that of the list of leaves received last, 0 for none.
+	LeavesHash uint64 `json:"hash"`
+	// FleetHash is that of the list of instances in force, 0 for none.
+	FleetHash uint64 `json:"fleet"`
 	// AgeMS is the age of what the asking instance knows of configuration and leaves; -1
 	// while it knows nothing.
 	AgeMS int64 `json:"age_ms"`
-	// Seen is what the asking instance, and those that asked it, saw of leaves.
-	Seen []SeenLeaf `json:"seen,omitempty"`
+	// Observations is what the asking instance, and those that asked it, saw of leaves.
+	Observations []LeafObservation `json:"seen,omitempty"`
 	// Quarantine lists quarantined fingerprints and suspects.
-	Quarantine []Quarantined `json:"quarantine,omitempty"`
+	Quarantine []QuarantineRecord `json:"quarantine,omitempty"`
 }
 
-// SeenLeaf is one outcome at a leaf, or the report that a leaf is slow.
-type SeenLeaf struct {
+// LeafObservation is one outcome at a leaf, or the report that a leaf is slow.
+type LeafObservation struct {
 	Leaf   string `json:"leaf"`
 	TookMS int64  `json:"took_ms"`
 	Slow   bool   `json:"slow,omitempty"`
@@ -125,34 +125,34 @@
 	// Config is the configuration as packed JSON, if its version is another than that
 	// asked with and Change is not set.
 	Config []byte `json:"config,omitempty"`
-	// Change is what leads to the version from the one asked with, as packed JSON, and
+	// ConfigChange is what leads to the version from the one asked with, as packed JSON, and
 	// ConfigHash the hash of the configuration that it leads to.
-	Change     []byte `json:"change,omitempty"`
-	ConfigHash uint64 `json:"config_hash,omitempty"`
+	ConfigChange []byte `json:"change,omitempty"`
+	ConfigHash   uint64 `json:"config_hash,omitempty"`
 	// Revision is the store's at the last read of the leaves.
 	Revision uint64 `json:"revision"`
 	// LeavesAgeMS is how long ago that read began; -1 for never.
 	LeavesAgeMS int64 `json:"leaves_age_ms"`
-	// Hash is that of the leaves known, 0 before the first list.
-	Hash uint64 `json:"hash"`
+	// LeavesHash is that of the leaves known, 0 before the first list.
+	LeavesHash uint64 `json:"hash"`
 	// Leaves is a list of leaves as packed JSON, if the hash is another than that
 	// asked with: all of them, or those that differ from the list with the hash Base.
 	Leaves []byte `json:"leaves,omitempty"`
-	// Base is the hash of the list that Leaves and Gone change; 0: Leaves is all.
-	Base uint64 `json:"base,omitempty"`
-	// Gone lists the IDs of leaves that the list with the hash Base has and that are no more.
-	Gone []string `json:"gone,omitempty"`
-	// Fleet is the hash of the instances known, 0 before the first list, and FleetAgeMS
+	// BaseLeavesHash is the hash of the list that Leaves and Gone change; 0: Leaves is all.
+	BaseLeavesHash uint64 `json:"base,omitempty"`
+	// RemovedLeaves lists the IDs of leaves that the list with the hash Base has and that are no more.
+	RemovedLeaves []string `json:"gone,omitempty"`
+	// FleetHash is the hash of the instances known, 0 before the first list, and FleetAgeMS
 	// how long ago the read of them began; -1 for never.
-	Fleet      uint64 `json:"fleet"`
+	FleetHash  uint64 `json:"fleet"`
 	FleetAgeMS int64  `json:"fleet_age_ms"`
 	// Instances is the list of instances as packed JSON, if its hash is another than that
 	// asked with.
 	Instances []byte `json:"instances,omitempty"`
-	// Slow lists the leaves that are taken to be slow.
-	Slow []SeenLeaf `json:"slow,omitempty"`
+	// SlowLeaves lists the leaves that are taken to be slow.
+	SlowLeaves []LeafObservation `json:"slow,omitempty"`
 	// Quarantine lists quarantined fingerprints and suspects.
-	Quarantine []Quarantined `json:"quarantine,omitempty"`
+	Quarantine []QuarantineRecord `json:"quarantine,omitempty"`
 }
 
 // ForwardID names a forwarded request on its connection.
@@ -172,19 +172,19 @@
 	Host    string              `json:"host"`
 	Header  map[string][]string `json:"header"`
 	Body    []byte              `json:"body,omitempty"`
-	// SpentUS is the microseconds since the request came in, and LeftUS those
+	// ElapsedUS is the microseconds since the request came in, and LeftUS those
 	// that are left of its time.
-	SpentUS int64 `json:"spent_us"`
-	LeftUS  int64 `json:"left_us"`
-	// WayUS is the microseconds that the request and its answer spend between the
+	ElapsedUS   int64 `json:"spent_us"`
+	RemainingUS int64 `json:"left_us"`
+	// ClientNetworkUS is the microseconds that the request and its answer spend between the
 	// client and the instance that took it in.
-	WayUS int64 `json:"way_us"`
+	ClientNetworkUS int64 `json:"way_us"`
 	// Gather, if it is set, asks for some shards only.
-	Gather *Gather `json:"gather,omitempty"`
+	Gather *GatherRequest `json:"gather,omitempty"`
 }
 
-// Gather names the shards that are asked for.
-type Gather struct {
+// GatherRequest names the shards that are asked for.
+type GatherRequest struct {
 	Service string `json:"service"`
 	// Upstream is named by the set of its shards.
 	Upstream string `json:"upstream"`
@@ -197,16 +197,16 @@
 // Range is a key range, its end excluded.
 type Range [2]uint64
 
-// Gathered is what came of a Gather since the last reply; the reply's body is merged
+// GatherResult is what came of a Gather since the last reply; the reply's body is merged
 // of its parts.
-type Gathered struct {
+type GatherResult struct {
 	// Index is the index version of the parts.
 	Index  uint64  `json:"index"`
 	Ranges []Range `json:"ranges"`
 	// Signatures are those of the parts, one a shard.
 	Signatures []string `json:"signatures"`
-	// Going says that more may come: MethodRest waits for it.
-	Going bool `json:"going,omitempty"`
+	// MorePending says that more may come: MethodRest waits for it.
+	MorePending bool `json:"going,omitempty"`
 	// Sent, Hedges and Retries count the attempts at leaves.
 	Sent    int `json:"sent"`
 	Hedges  int `json:"hedges,omitempty"`
@@ -231,5 +231,5 @@
 	// RunUS is the microseconds for which it ran.
 	RunUS int64 `json:"run_us"`
 	// Gathered tells of the parts, where the request had a Gather.
-	Gathered *Gathered `json:"gathered,omitempty"`
+	Gathered *GatherResult `json:"gathered,omitempty"`
 }
--- a/bench/capacity/fleet.go
+++ b/bench/capacity/fleet.go
@@ -49,7 +49,7 @@
 func wire(d *membership.Digest) *peerapi.Digest {
 	out := &peerapi.Digest{Instance: d.Instance, Zone: "zone-a", Generation: 1 << 20, Hash: hash}
 	for _, l := range d.Leaving {
-		out.Leaving = append(out.Leaving, peerapi.LeavingLeaf{Leaf: l.Leaf, AgeMS: l.Age.Milliseconds()})
+		out.DrainMarks = append(out.DrainMarks, peerapi.DrainMark{Leaf: l.Leaf, AgeMS: l.Age.Milliseconds()})
 	}
 	for _, g := range d.Generations {
 		out.Generations = append(out.Generations, peerapi.InstanceGeneration{Instance: g.Instance, Generation: 1 << 20, AgeMS: g.Age.Milliseconds()})
--- a/cmd/fuchsiactl/quarantine.go
+++ b/cmd/fuchsiactl/quarantine.go
@@ -38,7 +38,7 @@
 			}
 			t := &table{header: []string{"FINGERPRINT", "CRASHES", "LEFT"}}
 			for _, q := range list.Quarantine {
-				t.add(q.Fingerprint, strconv.Itoa(q.Level), milliseconds(q.LeftMS))
+				t.add(q.Fingerprint, strconv.Itoa(q.Level), milliseconds(q.RemainingMS))
 			}
 			return o.print(cmd.OutOrStdout(), list, t)
 		},
--- a/cmd/internal/entryclient/client.go
+++ b/cmd/internal/entryclient/client.go
@@ -81,7 +81,7 @@
 
 // Quarantine is the list of fingerprints in quarantine.
 type Quarantine struct {
-	Quarantine []peerapi.Quarantined `json:"quarantine"`
+	Quarantine []peerapi.QuarantineRecord `json:"quarantine"`
 }
 
 // Quarantine returns the fingerprints in quarantine at the entry.
--- a/entry/console/form_test.go
+++ b/entry/console/form_test.go
@@ -247,7 +247,7 @@
 func TestPagesAreUsableWithoutAScript(t *testing.T) {
 	b := newOperator(t)
 	b.entry.control.List = []platformapi.Instance{{ID: "entry-9", Role: platformapi.RoleEntry}}
-	b.entry.control.Records = []peerapi.Quarantined{{Fingerprint: "f", Level: 1}}
+	b.entry.control.Records = []peerapi.QuarantineRecord{{Fingerprint: "f", Level: 1}}
 	paths := []string{
 		console.Root, console.Root + "status", console.Root + "document", console.Root + "quarantine", console.Root + "login", sitePage, upstreamPage,
 		servicePage, callerPage, newUpstream, newService, newCaller, removeCaller, console.Root + "service/edit/none",
@@ -304,7 +304,7 @@
 // TestQuarantine lifts one fingerprint, and tries one that is not listed.
 func TestQuarantine(t *testing.T) {
 	b := newOperator(t)
-	b.entry.control.Records = []peerapi.Quarantined{{Fingerprint: "cleared", Level: 3}, {Fingerprint: "f2", Level: 2, LeftMS: 61_400}, {Fingerprint: "f1", Level: 4}}
+	b.entry.control.Records = []peerapi.QuarantineRecord{{Fingerprint: "cleared", Level: 3}, {Fingerprint: "f2", Level: 2, RemainingMS: 61_400}, {Fingerprint: "f1", Level: 4}}
 	b.get(console.Root + "quarantine")
 	var cells []string
 	for n := range find(b.page, "tbody").Descendants() {
--- a/entry/console/quarantine.go
+++ b/entry/console/quarantine.go
@@ -34,7 +34,7 @@
 		p.Lines = append(p.Lines, quarantineLine{
 			Fingerprint: q.Fingerprint, Crashes: q.Level,
 			Refused: quarantine.Phase(q.Level) == quarantine.PhaseQuarantined,
-			Left:    (time.Duration(q.LeftMS) * time.Millisecond).Round(time.Second),
+			Left:    (time.Duration(q.RemainingMS) * time.Millisecond).Round(time.Second),
 		})
 	}
 	return c.render(ctx, http.StatusOK, "quarantine", "Quarantine", p)
@@ -43,7 +43,7 @@
 // postQuarantine lets a fingerprint run again.
 func (c *Console) postQuarantine(ctx echo.Context) error {
 	fingerprint := ctx.FormValue(fieldFingerprint)
-	listed := func(q peerapi.Quarantined) bool { return q.Fingerprint == fingerprint }
+	listed := func(q peerapi.QuarantineRecord) bool { return q.Fingerprint == fingerprint }
 	if !slices.ContainsFunc(operators.Quarantined(c.config.Quarantine), listed) {
 		return &Error{Status: http.StatusNotFound, Title: "Not in quarantine", Detail: fmt.Sprintf("This instance lists no fingerprint %q. Its time may have passed, or it was lifted already.", fingerprint)}
 	}
--- a/entry/control/config.go
+++ b/entry/control/config.go
@@ -32,8 +32,8 @@
 
 // Quarantine is what digests carry of the quarantine; *executor.Executor is one.
 type Quarantine interface {
-	Quarantine() []peerapi.Quarantined
-	MergeQuarantine(list []peerapi.Quarantined)
+	Quarantine() []peerapi.QuarantineRecord
+	MergeQuarantine(list []peerapi.QuarantineRecord)
 }
 
 // Log takes lines for operators; *telemetry.Part is one.
--- a/entry/control/members.go
+++ b/entry/control/members.go
@@ -110,7 +110,7 @@
 		Instance: d.Instance, Zone: c.cfg.Zone, Generation: current.Generation, Hash: current.Hash, Draining: d.Draining,
 	}
 	for _, l := range d.Leaving {
-		out.Leaving = append(out.Leaving, peerapi.LeavingLeaf{Leaf: l.Leaf, Born: l.StartedAtMS, AgeMS: l.Age.Milliseconds()})
+		out.DrainMarks = append(out.DrainMarks, peerapi.DrainMark{Leaf: l.Leaf, StartMillis: l.StartedAtMS, AgeMS: l.Age.Milliseconds()})
 	}
 	for _, g := range d.Generations {
 		out.Generations = append(out.Generations, peerapi.InstanceGeneration{Instance: g.Instance, Generation: g.Generation, AgeMS: g.Age.Milliseconds()})
@@ -132,8 +132,8 @@
 // mergeDigest takes in a peer's digest, up to the bounds.
 func (c *Control) mergeDigest(d *peerapi.Digest) {
 	in := &membership.Digest{Instance: d.Instance, Generation: d.Generation, Hash: d.Hash, Draining: d.Draining}
-	for _, l := range d.Leaving[:min(len(d.Leaving), maxLeaving)] {
-		in.Leaving = append(in.Leaving, membership.LeavingLeaf{Leaf: l.Leaf, StartedAtMS: l.Born, Age: age(l.AgeMS)})
+	for _, l := range d.DrainMarks[:min(len(d.DrainMarks), maxLeaving)] {
+		in.Leaving = append(in.Leaving, membership.LeavingLeaf{Leaf: l.Leaf, StartedAtMS: l.StartMillis, Age: age(l.AgeMS)})
 	}
 	for _, g := range d.Generations[:min(len(d.Generations), maxGenerations)] {
 		in.Generations = append(in.Generations, membership.RelayedGeneration{
--- a/entry/executor/atmostonce.go
+++ b/entry/executor/atmostonce.go
@@ -84,7 +84,7 @@
 func heldAnswer(held *ledger.HeldError) *Response {
 	answer := callerapi.Answer{
 		Request: newToken(), Replayed: true, RetryAfterMS: held.RetryAfter.Milliseconds(),
-		Covered: []callerapi.Part{}, Missing: []callerapi.Missing{}, Results: []callerapi.Result{},
+		Covered: []callerapi.Part{}, Missing: []callerapi.MissingPart{}, Results: []callerapi.Result{},
 	}
 	switch held.State {
 	case ledger.StateRecorded:
--- a/entry/executor/execute.go
+++ b/entry/executor/execute.go
@@ -196,7 +196,7 @@
 	out := callerapi.Answer{
 		Request: r.id, Outcome: string(a.Outcome), Version: a.Version, Share: a.Share, Reason: a.Reason,
 		Covered: make([]callerapi.Part, 0, len(a.Covered)),
-		Missing: make([]callerapi.Missing, 0, len(a.Missing)),
+		Missing: make([]callerapi.MissingPart, 0, len(a.Missing)),
 		Results: make([]callerapi.Result, 0, len(a.Results)),
 		Work:    callerapi.Work{Sent: a.Sent, Hedges: a.Hedges, Retries: a.Retries},
 	}
@@ -204,10 +204,10 @@
 		out.Covered = append(out.Covered, r.part(p))
 	}
 	for _, m := range a.Missing {
-		out.Missing = append(out.Missing, callerapi.Missing{Part: r.part(m.Part), Reason: missing(m)})
+		out.Missing = append(out.Missing, callerapi.MissingPart{Part: r.part(m.Part), Reason: missing(m)})
 	}
 	for _, res := range a.Results {
-		out.Results = append(out.Results, callerapi.Result{Part: r.part(res.Part), More: res.MoreRanges, Body: res.Body})
+		out.Results = append(out.Results, callerapi.Result{Part: r.part(res.Part), MoreRanges: res.MoreRanges, Body: res.Body})
 	}
 	return out
 }
--- a/entry/executor/quarantine.go
+++ b/entry/executor/quarantine.go
@@ -116,12 +116,12 @@
 }
 
 // records lists what to tell peers.
-func (s *quarantineState) records(now time.Time) []peerapi.Quarantined {
+func (s *quarantineState) records(now time.Time) []peerapi.QuarantineRecord {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var out []peerapi.Quarantined
+	var out []peerapi.QuarantineRecord
 	for _, r := range s.machine.Digest(now) {
-		out = append(out, peerapi.Quarantined{Fingerprint: r.Fingerprint, Level: r.Level, LeftMS: r.ExpiresAt.Sub(now).Milliseconds()})
+		out = append(out, peerapi.QuarantineRecord{Fingerprint: r.Fingerprint, Level: r.Level, RemainingMS: r.ExpiresAt.Sub(now).Milliseconds()})
 	}
 	return out
 }
@@ -131,10 +131,10 @@
 const maxLeftMS = int64(24 * time.Hour / time.Millisecond)
 
 // merge takes in a peer's records.
-func (s *quarantineState) merge(list []peerapi.Quarantined, now time.Time) []quarantine.Action {
+func (s *quarantineState) merge(list []peerapi.QuarantineRecord, now time.Time) []quarantine.Action {
 	records := make([]quarantine.Record, 0, len(list))
 	for _, q := range list {
-		left := time.Duration(min(q.LeftMS, maxLeftMS)) * time.Millisecond
+		left := time.Duration(min(q.RemainingMS, maxLeftMS)) * time.Millisecond
 		records = append(records, quarantine.Record{Fingerprint: q.Fingerprint, Level: q.Level, ExpiresAt: now.Add(left)})
 	}
 	return s.handle(quarantine.RecordsReceived{Records: records}, now)
@@ -179,10 +179,10 @@
 
 // Quarantine lists fingerprints under suspicion or in quarantine, to tell peers
 // and operators.
-func (e *Executor) Quarantine() []peerapi.Quarantined { return e.quarantine.records(time.Now()) }
+func (e *Executor) Quarantine() []peerapi.QuarantineRecord { return e.quarantine.records(time.Now()) }
 
 // MergeQuarantine takes in a peer's list.
-func (e *Executor) MergeQuarantine(list []peerapi.Quarantined) {
+func (e *Executor) MergeQuarantine(list []peerapi.QuarantineRecord) {
 	e.carryOut(e.quarantine.merge(list, time.Now()))
 }
 
--- a/entry/hosted/city_test.go
+++ b/entry/hosted/city_test.go
@@ -256,7 +256,7 @@
 		return nil, context.DeadlineExceeded
 	}
 	reply := other.node.Sync(c.instance, r)
-	size := len(reply.Config) + len(reply.Change) + len(reply.Leaves) + len(reply.Instances)
+	size := len(reply.Config) + len(reply.ConfigChange) + len(reply.Leaves) + len(reply.Instances)
 	c.sent.Add(int64(size))
 	if c.width > 0 {
 		time.Sleep(time.Duration(size) * time.Second / time.Duration(c.width))
--- a/entry/hosted/control_test.go
+++ b/entry/hosted/control_test.go
@@ -214,7 +214,7 @@
 		if reply.Version != 3 || reply.Config == nil || reply.Leaves == nil {
 			t.Errorf("reply for one that knows nothing: %+v", reply)
 		}
-		same := n.Sync("other", peerapi.SyncRequest{Version: 3, Hash: reply.Hash})
+		same := n.Sync("other", peerapi.SyncRequest{Version: 3, LeavesHash: reply.LeavesHash})
 		if same.Config != nil || same.Leaves != nil {
 			t.Errorf("reply for one that knows all: %+v", same)
 		}
--- a/entry/hosted/forwarding/gather.go
+++ b/entry/hosted/forwarding/gather.go
@@ -103,7 +103,7 @@
 	f.gatherDelays.observe(time.Since(now) - time.Duration(reply.RunUS)*time.Microsecond)
 	for {
 		got(gatherReply(reply))
-		if reply.Gathered == nil || !reply.Gathered.Going {
+		if reply.Gathered == nil || !reply.Gathered.MorePending {
 			return nil
 		}
 		if reply, err = f.config.Peers.Rest(ctx, targetOf(to), request.ID); err != nil {
@@ -135,9 +135,9 @@
 }
 
 // gatherRequest names a group's shards on the wire.
-func gatherRequest(r *executor.Request, g executor.Group) *peerapi.Gather {
+func gatherRequest(r *executor.Request, g executor.Group) *peerapi.GatherRequest {
 	up := &r.View.Upstreams[g.Upstream]
-	out := &peerapi.Gather{Service: r.Service.Config.Name, Upstream: up.Name, TopK: r.Service.Config.TopK}
+	out := &peerapi.GatherRequest{Service: r.Service.Config.Name, Upstream: up.Name, TopK: r.Service.Config.TopK}
 	for _, k := range g.Ranges {
 		out.Ranges = append(out.Ranges, peerapi.Range{k.From, k.To})
 	}
@@ -151,7 +151,7 @@
 		return &executor.GatherReply{}
 	}
 	return &executor.GatherReply{
-		Version: g.Index, Ranges: keyRanges(g.Ranges), Going: g.Going, Sent: g.Sent, Hedges: g.Hedges, Retries: g.Retries,
+		Version: g.Index, Ranges: keyRanges(g.Ranges), Going: g.MorePending, Sent: g.Sent, Hedges: g.Hedges, Retries: g.Retries,
 		Carried: &gateway.Gathered{Signatures: g.Signatures, Body: reply.Body},
 	}
 }
@@ -202,7 +202,7 @@
 }
 
 // onlyOf finds the shards that are asked for; nil: there are none such.
-func onlyOf(v *view.View, g *peerapi.Gather) []query.Group {
+func onlyOf(v *view.View, g *peerapi.GatherRequest) []query.Group {
 	service := v.Services[g.Service]
 	if service == nil {
 		return nil
@@ -218,7 +218,7 @@
 // runGather gathers a group for another instance.
 func (f *Forwarder) runGather(ctx context.Context, v *view.View, r *peerapi.ForwardRequest, handed gateway.Handed) (*peerapi.ForwardReply, peer.Rest) {
 	if why := f.offerGather(v, r); why != "" { // it changed since the offer
-		return &peerapi.ForwardReply{Version: v.Generation, Gathered: &peerapi.Gathered{Refused: why}}, nil
+		return &peerapi.ForwardReply{Version: v.Generation, Gathered: &peerapi.GatherResult{Refused: why}}, nil
 	}
 	began := time.Now()
 	gathering := f.gateway.Gather(ctx, v, gateway.Group{
@@ -228,7 +228,7 @@
 		reply := gatheredReply(gathering.Next(ctx))
 		reply.Version = v.Generation
 		reply.RunUS = time.Since(began).Microseconds()
-		return reply, reply.Gathered.Going
+		return reply, reply.Gathered.MorePending
 	}
 	reply, going := next(ctx)
 	if !going {
@@ -240,10 +240,10 @@
 // gatheredReply writes what was gathered for the wire.
 func gatheredReply(got *gateway.Gathered, err error) *peerapi.ForwardReply {
 	if err != nil {
-		return &peerapi.ForwardReply{Gathered: &peerapi.Gathered{Refused: err.Error()}}
+		return &peerapi.ForwardReply{Gathered: &peerapi.GatherResult{Refused: err.Error()}}
 	}
-	out := &peerapi.Gathered{
-		Index: got.Version, Signatures: got.Signatures, Going: got.Going, Sent: got.Sent, Hedges: got.Hedges, Retries: got.Retries,
+	out := &peerapi.GatherResult{
+		Index: got.Version, Signatures: got.Signatures, MorePending: got.Going, Sent: got.Sent, Hedges: got.Hedges, Retries: got.Retries,
 	}
 	for _, k := range got.Ranges {
 		out.Ranges = append(out.Ranges, peerapi.Range{k.From, k.To})
--- a/entry/hosted/forwarding/gather_test.go
+++ b/entry/hosted/forwarding/gather_test.go
@@ -40,7 +40,7 @@
 
 func gathers(t *testing.T) {
 	reply := func(going bool, ranges ...peerapi.Range) *peerapi.ForwardReply {
-		return &peerapi.ForwardReply{Version: 5, Gathered: &peerapi.Gathered{Index: 1, Ranges: ranges, Signatures: []string{"s"}, Going: going}}
+		return &peerapi.ForwardReply{Version: 5, Gathered: &peerapi.GatherResult{Index: 1, Ranges: ranges, Signatures: []string{"s"}, MorePending: going}}
 	}
 	whole := func(context.Context) *peerapi.ForwardReply { return reply(false, peerapi.Range{0, 4}) }
 	first := func(context.Context) *peerapi.ForwardReply { return reply(true, peerapi.Range{0, 3}) }
@@ -154,15 +154,15 @@
 	for _, tc := range []struct {
 		name     string
 		version  uint64
-		gather   peerapi.Gather
+		gather   peerapi.GatherRequest
 		declined string
 	}{
-		{"the same", 5, peerapi.Gather{Service: "r", Upstream: name, TopK: 1}, ""},
-		{"older", 4, peerapi.Gather{Service: "r", Upstream: name, TopK: 1}, ""},
-		{"newer", 6, peerapi.Gather{Service: "r", Upstream: name, TopK: 1}, ""},
-		{"other shards", 5, peerapi.Gather{Service: "r", Upstream: "set-of-others", TopK: 1}, "no such shards"},
-		{"other service", 5, peerapi.Gather{Service: "q", Upstream: name, TopK: 1}, "no such shards"},
-		{"other number of records", 6, peerapi.Gather{Service: "r", Upstream: name, TopK: 2}, "another number of records"},
+		{"the same", 5, peerapi.GatherRequest{Service: "r", Upstream: name, TopK: 1}, ""},
+		{"older", 4, peerapi.GatherRequest{Service: "r", Upstream: name, TopK: 1}, ""},
+		{"newer", 6, peerapi.GatherRequest{Service: "r", Upstream: name, TopK: 1}, ""},
+		{"other shards", 5, peerapi.GatherRequest{Service: "r", Upstream: "set-of-others", TopK: 1}, "no such shards"},
+		{"other service", 5, peerapi.GatherRequest{Service: "q", Upstream: name, TopK: 1}, "no such shards"},
+		{"other number of records", 6, peerapi.GatherRequest{Service: "r", Upstream: name, TopK: 2}, "another number of records"},
 	} {
 		offer := &peerapi.ForwardRequest{Version: tc.version, Gather: &tc.gather}
 		if got := n.Offer("other", offer); got != tc.declined {
@@ -170,7 +170,7 @@
 		}
 	}
 	handed := gateway.Handed{Start: time.Now(), Deadline: time.Now().Add(time.Minute), Passed: r.Passed}
-	gone := &peerapi.ForwardRequest{Version: 5, Gather: &peerapi.Gather{Service: "r", Upstream: "set-that-was", TopK: 1}}
+	gone := &peerapi.ForwardRequest{Version: 5, Gather: &peerapi.GatherRequest{Service: "r", Upstream: "set-that-was", TopK: 1}}
 	if reply, rest := n.runGather(t.Context(), r.View, gone, handed); rest != nil || reply.Gathered.Refused == "" || len(reply.Gathered.Ranges) != 0 {
 		t.Errorf("a set of shards that is gone since the offer: %+v", reply.Gathered)
 	}
--- a/entry/hosted/forwarding/relay.go
+++ b/entry/hosted/forwarding/relay.go
@@ -102,8 +102,8 @@
 	p := r.Passed
 	return &peerapi.ForwardRequest{
 		Version: r.View.Generation, Request: p.ID, Method: p.Method, Target: p.Target, Host: p.Host, Header: p.Header, Body: p.Body,
-		SpentUS: (now.Sub(r.Start) + delay).Microseconds(), LeftUS: (r.Deadline.Sub(now) - delay).Microseconds(),
-		WayUS: r.Way.Microseconds(),
+		ElapsedUS: (now.Sub(r.Start) + delay).Microseconds(), RemainingUS: (r.Deadline.Sub(now) - delay).Microseconds(),
+		ClientNetworkUS: r.Way.Microseconds(),
 	}
 }
 
@@ -186,8 +186,8 @@
 	now := time.Now()
 	handed := gateway.Handed{
 		Passed: &leafclient.Passed{ID: r.Request, Method: r.Method, Target: r.Target, Host: r.Host, Header: r.Header, Body: r.Body},
-		Start:  now.Add(-time.Duration(r.SpentUS) * time.Microsecond), Deadline: now.Add(time.Duration(r.LeftUS) * time.Microsecond),
-		Way: time.Duration(r.WayUS) * time.Microsecond,
+		Start:  now.Add(-time.Duration(r.ElapsedUS) * time.Microsecond), Deadline: now.Add(time.Duration(r.RemainingUS) * time.Microsecond),
+		Way: time.Duration(r.ClientNetworkUS) * time.Microsecond,
 	}
 	if r.Gather != nil {
 		return f.runGather(ctx, v, r, handed)
--- a/entry/hosted/forwarding/version_test.go
+++ b/entry/hosted/forwarding/version_test.go
@@ -43,7 +43,7 @@
 		own := rapid.Uint64Range(1, 6).Draw(rt, "own version")
 		sent := rapid.Uint64Range(1, 6).Draw(rt, "sender's version")
 		n.view = twoZones(t, own).View
-		offer := &peerapi.ForwardRequest{Version: sent, Request: "q", Method: http.MethodGet, Target: "/x", Host: "h", LeftUS: 1e6}
+		offer := &peerapi.ForwardRequest{Version: sent, Request: "q", Method: http.MethodGet, Target: "/x", Host: "h", RemainingUS: 1e6}
 		if declined := n.Offer("other", offer); (declined == "") != (own >= sent) {
 			rt.Fatalf("version %d offered to an instance with %d: %q", sent, own, declined)
 		} else if declined != "" {
--- a/entry/hosted/members.go
+++ b/entry/hosted/members.go
@@ -243,5 +243,5 @@
 		return
 	}
 	out.FleetAgeMS = statesync.AgeMS(at, now)
-	s.Write(r.Fleet, out)
+	s.Write(r.FleetHash, out)
 }
--- a/entry/hosted/quarantine_test.go
+++ b/entry/hosted/quarantine_test.go
@@ -60,7 +60,7 @@
 	const fingerprint, quarantined = "f00d", 2
 	knows := func(n *Node) bool {
 		for _, q := range n.executor.Quarantine() {
-			if q.Fingerprint == fingerprint && q.Level == quarantined && q.LeftMS > 0 {
+			if q.Fingerprint == fingerprint && q.Level == quarantined && q.RemainingMS > 0 {
 				return true
 			}
 		}
@@ -68,7 +68,7 @@
 	}
 	reader, address := informed(t)
 	first, third := idle(t), idle(t)
-	first.executor.MergeQuarantine([]peerapi.Quarantined{{Fingerprint: fingerprint, Level: quarantined, LeftMS: 10_000}})
+	first.executor.MergeQuarantine([]peerapi.QuarantineRecord{{Fingerprint: fingerprint, Level: quarantined, RemainingMS: 10_000}})
 	if !knows(first) || knows(reader) || knows(third) {
 		t.Fatal("only the first instance is to know of the request")
 	}
--- a/entry/hosted/routes_bench_test.go
+++ b/entry/hosted/routes_bench_test.go
@@ -80,7 +80,7 @@
 				base := receiver.state.Load().Config()
 				request := received.Request(base)
 				reply := sender.state.Load().Reply(&request, time.Now())
-				sent += len(reply.Config) + len(reply.Change)
+				sent += len(reply.Config) + len(reply.ConfigChange)
 				update, err := received.Take(reply, base, time.Now(), time.Now())
 				if err != nil {
 					b.Fatal(err)
--- a/entry/hosted/slowleaves/slowleaves.go
+++ b/entry/hosted/slowleaves/slowleaves.go
@@ -39,7 +39,7 @@
 
 // Observe takes the observations of an instance that asks. Their ages are as it says:
 // the way here takes about a millisecond.
-func (s *Exchange) Observe(seen []peerapi.SeenLeaf, now time.Time) {
+func (s *Exchange) Observe(seen []peerapi.LeafObservation, now time.Time) {
 	list := make([]slowness.Observation, 0, len(seen))
 	for _, l := range seen {
 		list = append(list, slowness.Observation{Leaf: l.Leaf, Elapsed: ms(l.TookMS), Slow: l.Slow, At: now.Add(-ms(l.AgeMS))})
@@ -51,19 +51,19 @@
 func ms(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
 
 // TakePending returns what is to be sent to the instance that this one asks.
-func (s *Exchange) TakePending(now time.Time) []peerapi.SeenLeaf {
+func (s *Exchange) TakePending(now time.Time) []peerapi.LeafObservation {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := make([]peerapi.SeenLeaf, 0, len(s.pending))
+	out := make([]peerapi.LeafObservation, 0, len(s.pending))
 	for _, p := range s.pending {
-		out = append(out, peerapi.SeenLeaf{Leaf: p.Leaf, TookMS: p.Elapsed.Milliseconds(), Slow: p.Slow, AgeMS: now.Sub(p.At).Milliseconds()})
+		out = append(out, peerapi.LeafObservation{Leaf: p.Leaf, TookMS: p.Elapsed.Milliseconds(), Slow: p.Slow, AgeMS: now.Sub(p.At).Milliseconds()})
 	}
 	s.pending = s.pending[:0]
 	return out
 }
 
 // SetReported keeps what the asked instance says.
-func (s *Exchange) SetReported(slow []peerapi.SeenLeaf, began time.Time) {
+func (s *Exchange) SetReported(slow []peerapi.LeafObservation, began time.Time) {
 	list := make([]slowness.SlowLeaf, 0, len(slow))
 	for _, l := range slow {
 		list = append(list, slowness.SlowLeaf{Leaf: l.Leaf, Elapsed: ms(l.TookMS), At: began.Add(-ms(l.AgeMS))})
@@ -91,10 +91,10 @@
 }
 
 // Report is the list for an instance that asks.
-func (s *Exchange) Report(now time.Time) []peerapi.SeenLeaf {
-	var out []peerapi.SeenLeaf
+func (s *Exchange) Report(now time.Time) []peerapi.LeafObservation {
+	var out []peerapi.LeafObservation
 	for _, l := range s.Slow(now) {
-		out = append(out, peerapi.SeenLeaf{Leaf: l.Leaf, TookMS: l.Elapsed.Milliseconds(), Slow: true, AgeMS: now.Sub(l.At).Milliseconds()})
+		out = append(out, peerapi.LeafObservation{Leaf: l.Leaf, TookMS: l.Elapsed.Milliseconds(), Slow: true, AgeMS: now.Sub(l.At).Milliseconds()})
 	}
 	return out
 }
--- a/entry/hosted/statesync/config.go
+++ b/entry/hosted/statesync/config.go
@@ -74,8 +74,8 @@
 	if r.Version == s.config.Version {
 		return
 	}
-	if change, ok := s.changes[r.Version]; ok && r.Changes {
-		if out.Change = change(); out.Change != nil {
+	if change, ok := s.changes[r.Version]; ok && r.AcceptsChange {
+		if out.ConfigChange = change(); out.ConfigChange != nil {
 			out.ConfigHash = s.hash()
 			return
 		}
@@ -97,7 +97,7 @@
 // does not.
 func decodeConfig(n *peerapi.SyncReply, base *catalog.Config) (*catalog.Config, error) {
 	switch {
-	case n.Change != nil:
+	case n.ConfigChange != nil:
 		return applyChange(n, base)
 	case n.Config != nil:
 		out, err := unpackConfig(n.Config)
@@ -116,7 +116,7 @@
 		return nil, errNoBase
 	}
 	var change catalog.ConfigChange
-	if err := unpack(n.Change, &change); err != nil {
+	if err := unpack(n.ConfigChange, &change); err != nil {
 		return nil, fmt.Errorf("decode a change of a peer's configuration: %w", err)
 	}
 	if err := checkRoutes(change.Routes); err != nil {
--- a/entry/hosted/statesync/config_test.go
+++ b/entry/hosted/statesync/config_test.go
@@ -46,11 +46,11 @@
 		if err != nil || update.Config == nil || update.Config.Hash() != state.hash() {
 			t.Errorf("%s: error %v", tc.name, err)
 		}
-		if got := reply.Change != nil; got != tc.want || got == (reply.Config != nil) {
+		if got := reply.ConfigChange != nil; got != tc.want || got == (reply.Config != nil) {
 			t.Errorf("%s: a change was sent: %v, want %v", tc.name, got, tc.want)
 		}
-		if tc.want && len(reply.Change) > 400 {
-			t.Errorf("%s: the change of one route takes %d bytes", tc.name, len(reply.Change))
+		if tc.want && len(reply.ConfigChange) > 400 {
+			t.Errorf("%s: the change of one route takes %d bytes", tc.name, len(reply.ConfigChange))
 		}
 	}
 }
@@ -75,7 +75,7 @@
 	if err != nil || update.Config == nil || update.Config.Hash() != second.hash() {
 		t.Errorf("after the whole configuration was asked for: error %v", err)
 	}
-	if next := receiver.Request(other); !next.Changes {
+	if next := receiver.Request(other); !next.AcceptsChange {
 		t.Error("changes are not asked for again")
 	}
 }
--- a/entry/hosted/statesync/instances.go
+++ b/entry/hosted/statesync/instances.go
@@ -38,7 +38,7 @@
 
 // Write fills in the list where it differs from the one with the given hash.
 func (i *Instances) Write(from uint64, out *peerapi.SyncReply) {
-	out.Fleet = i.Hash
+	out.FleetHash = i.Hash
 	if i.Hash != from {
 		out.Instances = i.packed
 	}
--- a/entry/hosted/statesync/leaves.go
+++ b/entry/hosted/statesync/leaves.go
@@ -124,13 +124,13 @@
 		return list, false, fmt.Errorf("decode a peer's leaves: %w", err)
 	}
 	next := make(map[string]receivedLeaf, len(t.list)+len(entries))
-	if n.Base != 0 {
-		if n.Base != t.hash {
+	if n.BaseLeavesHash != 0 {
+		if n.BaseLeavesHash != t.hash {
 			return list, false, errOtherBase
 		}
 		maps.Copy(next, t.list)
 	}
-	for _, id := range n.Gone {
+	for _, id := range n.RemovedLeaves {
 		delete(next, id)
 	}
 	for _, e := range entries {
@@ -138,10 +138,10 @@
 		next[l.ID] = receivedLeaf{l, bad}
 	}
 	list.Leaves, list.Bad = splitBad(next)
-	if len(list.Bad) == 0 && catalog.HashLeaves(list.Leaves) != n.Hash {
+	if len(list.Bad) == 0 && catalog.HashLeaves(list.Leaves) != n.LeavesHash {
 		return list, false, errOtherList
 	}
-	t.hash, t.list = n.Hash, next
+	t.hash, t.list = n.LeavesHash, next
 	return list, true, nil
 }
 
--- a/entry/hosted/statesync/receiver.go
+++ b/entry/hosted/statesync/receiver.go
@@ -46,7 +46,7 @@
 
 // Request names what this instance has, so that only what differs is sent.
 func (r *Receiver) Request(base *catalog.Config) peerapi.SyncRequest {
-	out := peerapi.SyncRequest{Hash: r.leaves.hash, Changes: !r.whole}
+	out := peerapi.SyncRequest{LeavesHash: r.leaves.hash, AcceptsChange: !r.whole}
 	if base != nil {
 		out.Version = base.Version
 	}
@@ -60,7 +60,7 @@
 // received last. Ages count from when it was sent, so that what a peer sends is never taken for newer than it is.
 func (r *Receiver) Take(reply *peerapi.SyncReply, base *catalog.Config, sent, now time.Time) (*Update, error) {
 	out := &Update{
-		Version: reply.Version, ByChange: reply.Change != nil, FleetHash: reply.Fleet,
+		Version: reply.Version, ByChange: reply.ConfigChange != nil, FleetHash: reply.FleetHash,
 		ConfigAt: since(reply.ConfigAgeMS, sent), LeavesAt: since(reply.LeavesAgeMS, sent), FleetAt: since(reply.FleetAgeMS, sent),
 	}
 	var err error
--- a/entry/hosted/statesync/state.go
+++ b/entry/hosted/statesync/state.go
@@ -115,10 +115,10 @@
 func (s *State) Reply(r *peerapi.SyncRequest, now time.Time) *peerapi.SyncReply {
 	out := &peerapi.SyncReply{
 		ConfigAgeMS: AgeMS(s.Known.ConfigAt, now),
-		Revision:    s.Known.Revision, Hash: s.hash, LeavesAgeMS: AgeMS(s.Known.LeavesAt, now), FleetAgeMS: unknownMS,
+		Revision:    s.Known.Revision, LeavesHash: s.hash, LeavesAgeMS: AgeMS(s.Known.LeavesAt, now), FleetAgeMS: unknownMS,
 	}
 	s.config.write(r, out)
-	s.writeLeaves(r.Hash, out)
+	s.writeLeaves(r.LeavesHash, out)
 	return out
 }
 
@@ -129,7 +129,7 @@
 	}
 	for _, p := range s.past {
 		if p.hash == from && len(p.changed) < len(s.leaves) {
-			out.Base, out.Leaves, out.Gone = from, p.changed, p.gone
+			out.BaseLeavesHash, out.Leaves, out.RemovedLeaves = from, p.changed, p.gone
 			return
 		}
 	}
--- a/entry/hosted/statesync/state_test.go
+++ b/entry/hosted/statesync/state_test.go
@@ -53,11 +53,11 @@
 	var known, unknown peerapi.SyncReply
 	after.writeLeaves(before.hash, &known)
 	after.writeLeaves(0, &unknown)
-	if known.Base != before.hash || len(known.Leaves) > 300 || len(known.Gone) != 1 {
-		t.Errorf("one changed and one gone leaf are received in %d bytes, base %x, gone %v", len(known.Leaves), known.Base, known.Gone)
+	if known.BaseLeavesHash != before.hash || len(known.Leaves) > 300 || len(known.RemovedLeaves) != 1 {
+		t.Errorf("one changed and one gone leaf are received in %d bytes, base %x, gone %v", len(known.Leaves), known.BaseLeavesHash, known.RemovedLeaves)
 	}
-	if unknown.Base != 0 || len(unknown.Leaves) > 20_000 {
-		t.Errorf("the whole list takes %d bytes, base %x", len(unknown.Leaves), unknown.Base)
+	if unknown.BaseLeavesHash != 0 || len(unknown.Leaves) > 20_000 {
+		t.Errorf("the whole list takes %d bytes, base %x", len(unknown.Leaves), unknown.BaseLeavesHash)
 	}
 	if whole, err := after.config.whole(); err != nil || len(whole) > 8000 {
 		t.Errorf("a configuration of 400 like routes takes %d bytes, error %v", len(whole), err)
@@ -96,9 +96,9 @@
 			if rapid.IntRange(0, 2).Draw(t, "asks") > 0 {
 				continue
 			}
-			n := &peerapi.SyncReply{Hash: state.hash, Revision: uint64(step + 1)}
+			n := &peerapi.SyncReply{LeavesHash: state.hash, Revision: uint64(step + 1)}
 			state.writeLeaves(received.hash, n)
-			if n.Base == 0 && n.Leaves != nil {
+			if n.BaseLeavesHash == 0 && n.Leaves != nil {
 				whole++
 			}
 			list, differs, err := received.take(n, listStart)
@@ -120,11 +120,11 @@
 		t.Fatal(err)
 	}
 	var received receivedLeaves
-	n := peerapi.SyncReply{Hash: state.hash, Leaves: state.leaves, Base: 77}
+	n := peerapi.SyncReply{LeavesHash: state.hash, Leaves: state.leaves, BaseLeavesHash: 77}
 	if _, _, err := received.take(&n, listStart); err == nil {
 		t.Error("changes of an unknown list were taken")
 	}
-	n.Base, n.Hash = 0, 78
+	n.BaseLeavesHash, n.LeavesHash = 0, 78
 	if _, _, err := received.take(&n, listStart); err == nil {
 		t.Error("a list with another hash was taken")
 	}
@@ -146,9 +146,9 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	all := peerapi.SyncReply{Hash: first.hash}
+	all := peerapi.SyncReply{LeavesHash: first.hash}
 	first.writeLeaves(0, &all)
-	change := peerapi.SyncReply{Hash: second.hash}
+	change := peerapi.SyncReply{LeavesHash: second.hash}
 	second.writeLeaves(first.hash, &change)
 	var base receivedLeaves
 	if _, _, err := base.take(&all, listStart); err != nil {
--- a/entry/hosted/sync.go
+++ b/entry/hosted/sync.go
@@ -38,8 +38,8 @@
 	now := time.Now()
 	out := s.Reply(&r, now)
 	n.fleet.write(&r, out, now)
-	n.slow.Observe(r.Seen, now)
-	out.Slow = n.slow.Report(now)
+	n.slow.Observe(r.Observations, now)
+	out.SlowLeaves = n.slow.Report(now)
 	n.executor.MergeQuarantine(r.Quarantine)
 	out.Quarantine = n.executor.Quarantine()
 	n.control.compare(from, r.AgeMS, max(out.ConfigAgeMS, out.LeavesAgeMS))
@@ -83,8 +83,8 @@
 	}
 	config := c.state.Load().Config()
 	request := c.receiver.Request(config)
-	request.Fleet, request.AgeMS = c.node.fleet.hash(), c.ageMS(began)
-	request.Seen, request.Quarantine = c.node.slow.TakePending(began), c.node.executor.Quarantine()
+	request.FleetHash, request.AgeMS = c.node.fleet.hash(), c.ageMS(began)
+	request.Observations, request.Quarantine = c.node.slow.TakePending(began), c.node.executor.Quarantine()
 	reply, err := c.peers.Sync(ctx, peer.Target{Instance: from.Name, Address: from.PeerAddress}, request)
 	if err != nil {
 		return err
@@ -97,7 +97,7 @@
 	if !update.Knows() {
 		return errUnknownState
 	}
-	c.node.slow.SetReported(reply.Slow, began)
+	c.node.slow.SetReported(reply.SlowLeaves, began)
 	c.node.fleet.received(update)
 	if err := c.post(ctx, peerUpdate{update: update, peer: cmp.Or(from.Name, from.PeerAddress), base: base}); err != nil {
 		c.receiver.Forget() // the catalog has not got it
--- a/entry/leafclient/leafclient.go
+++ b/entry/leafclient/leafclient.go
@@ -174,7 +174,7 @@
 	}
 	said := Said{
 		Versions: versions, Draining: resp.Header.Get(leafapi.HeaderDraining) == "1",
-		Born: leafapi.ParseBorn(resp.Header.Get(leafapi.HeaderBorn)),
+		Born: leafapi.ParseStartMillis(resp.Header.Get(leafapi.HeaderStartMillis)),
 	}
 	if decline := resp.Header.Get(leafapi.HeaderNotRun); decline != "" && resp.StatusCode >= http.StatusBadRequest {
 		return nil, declined(t, resp, leafapi.Decline(decline), said)
--- a/entry/node/assemble.go
+++ b/entry/node/assemble.go
@@ -43,10 +43,10 @@
 type fleetQuarantine struct{ node *Node }
 
 // Quarantine implements control.Quarantine.
-func (q fleetQuarantine) Quarantine() []peerapi.Quarantined { return q.node.executor.Quarantine() }
+func (q fleetQuarantine) Quarantine() []peerapi.QuarantineRecord { return q.node.executor.Quarantine() }
 
 // MergeQuarantine implements control.Quarantine.
-func (q fleetQuarantine) MergeQuarantine(list []peerapi.Quarantined) {
+func (q fleetQuarantine) MergeQuarantine(list []peerapi.QuarantineRecord) {
 	q.node.executor.MergeQuarantine(list)
 }
 
--- a/entry/operators/api.go
+++ b/entry/operators/api.go
@@ -168,7 +168,7 @@
 // QuarantineList is the answer of GET /v1/quarantine: the suspects, with one
 // crash, and what is in quarantine, with two.
 type QuarantineList struct {
-	Quarantine []peerapi.Quarantined `json:"quarantine"`
+	Quarantine []peerapi.QuarantineRecord `json:"quarantine"`
 }
 
 // getQuarantine answers GET /v1/quarantine.
@@ -179,8 +179,8 @@
 // Quarantined lists what is under suspicion or in quarantine. The records of
 // the executor, which peers merge, also tell of fingerprints that were cleared,
 // and count phases where operators count crashes.
-func Quarantined(from Quarantine) []peerapi.Quarantined {
-	out := []peerapi.Quarantined{}
+func Quarantined(from Quarantine) []peerapi.QuarantineRecord {
+	out := []peerapi.QuarantineRecord{}
 	for _, q := range from.Quarantine() {
 		phase := quarantine.Record{Level: q.Level}.Phase()
 		if phase == quarantine.PhaseClear {
--- a/entry/operators/api_test.go
+++ b/entry/operators/api_test.go
@@ -76,7 +76,7 @@
 	for _, r := range routes {
 		for token, status := range map[string]int{"": 401, "wrong": 401, firstToken: 401, samples.Token("house-one"): 403} {
 			c := operatorstest.New(generation, doc())
-			c.Records = []peerapi.Quarantined{{Fingerprint: "f", Level: 1}}
+			c.Records = []peerapi.QuarantineRecord{{Fingerprint: "f", Level: 1}}
 			rec := ask(c, r.method, r.path, token, body)
 			p := decode[callerapi.Problem](t, rec)
 			if rec.Code != status || p.Status != status || p.Field != "Authorization" {
@@ -227,7 +227,7 @@
 		{http.MethodDelete, quarantine + "?fp=a&fp=b", "", 400, "fp"},
 	} {
 		c := operatorstest.New(generation, doc())
-		c.Records = []peerapi.Quarantined{{Fingerprint: "a", Level: 2}}
+		c.Records = []peerapi.QuarantineRecord{{Fingerprint: "a", Level: 2}}
 		rec := ask(c, tc.method, tc.path, samples.Token("operator"), tc.body)
 		if p := decode[callerapi.Problem](t, rec); rec.Code != tc.status || p.Field != tc.field {
 			t.Errorf("%s %s: %d %+v", tc.method, tc.path, rec.Code, p)
@@ -240,10 +240,10 @@
 
 func TestQuarantine(t *testing.T) {
 	c := operatorstest.New(generation, doc())
-	cleared := peerapi.Quarantined{Fingerprint: "cleared", Level: 3}
-	c.Records = []peerapi.Quarantined{{Fingerprint: "a", Level: 5, LeftMS: 1000}, cleared, {Fingerprint: "b", Level: 1}}
+	cleared := peerapi.QuarantineRecord{Fingerprint: "cleared", Level: 3}
+	c.Records = []peerapi.QuarantineRecord{{Fingerprint: "a", Level: 5, RemainingMS: 1000}, cleared, {Fingerprint: "b", Level: 1}}
 	list := decode[operators.QuarantineList](t, ask(c, http.MethodGet, callerapi.PathQuarantine, samples.Token("operator"), ""))
-	if len(list.Quarantine) != 2 || list.Quarantine[0] != (peerapi.Quarantined{Fingerprint: "a", Level: 2, LeftMS: 1000}) {
+	if len(list.Quarantine) != 2 || list.Quarantine[0] != (peerapi.QuarantineRecord{Fingerprint: "a", Level: 2, RemainingMS: 1000}) {
 		t.Errorf("list %+v", list)
 	}
 	ask(c, http.MethodDelete, callerapi.PathQuarantine+"?fp=b", samples.Token("operator"), "")
--- a/entry/operators/control.go
+++ b/entry/operators/control.go
@@ -33,7 +33,7 @@
 
 // Quarantine is what operators need of the executor.
 type Quarantine interface {
-	Quarantine() []peerapi.Quarantined
+	Quarantine() []peerapi.QuarantineRecord
 	LiftQuarantine(fingerprint string)
 }
 
--- a/entry/operators/operatorstest/control.go
+++ b/entry/operators/operatorstest/control.go
@@ -45,7 +45,7 @@
 	// Status, List and Records are the answers of the methods of like name.
 	Status  callerapi.ConfigStatus
 	List    []platformapi.Instance
-	Records []peerapi.Quarantined
+	Records []peerapi.QuarantineRecord
 	// Lifted lists the fingerprints that were lifted.
 	Lifted []string
 }
@@ -166,7 +166,7 @@
 func (c *Control) Instances() []platformapi.Instance { return c.List }
 
 // Quarantine implements operators.Quarantine.
-func (c *Control) Quarantine() []peerapi.Quarantined { return c.Records }
+func (c *Control) Quarantine() []peerapi.QuarantineRecord { return c.Records }
 
 // LiftQuarantine implements operators.Quarantine.
 func (c *Control) LiftQuarantine(fingerprint string) { c.Lifted = append(c.Lifted, fingerprint) }
--- a/entry/peer/client.go
+++ b/entry/peer/client.go
@@ -68,7 +68,7 @@
 // Document asks a peer for its document, if newer than above.
 func (c *Client) Document(ctx context.Context, t Target, above uint64) (*peerapi.Document, error) {
 	var reply peerapi.Document
-	if err := c.call(ctx, t, peerapi.MethodDocument, peerapi.DocumentRequest{Above: above}, &reply); err != nil {
+	if err := c.call(ctx, t, peerapi.MethodDocument, peerapi.DocumentRequest{AboveGeneration: above}, &reply); err != nil {
 		return nil, err
 	}
 	return &reply, nil
--- a/entry/peer/forward.go
+++ b/entry/peer/forward.go
@@ -84,7 +84,7 @@
 	s.mu.Lock()
 	in.rest = rest
 	s.mu.Unlock()
-	time.AfterFunc(time.Duration(r.LeftUS)*time.Microsecond, func() { s.end(id.ID) })
+	time.AfterFunc(time.Duration(r.RemainingUS)*time.Microsecond, func() { s.end(id.ID) })
 	return reply, nil
 }
 
--- a/entry/peer/forward_test.go
+++ b/entry/peer/forward_test.go
@@ -165,7 +165,7 @@
 		},
 	})
 	begin := func() *peerapi.ForwardRequest {
-		r := &peerapi.ForwardRequest{LeftUS: long.Microseconds()}
+		r := &peerapi.ForwardRequest{RemainingUS: long.Microseconds()}
 		if reply, err := c.Forward(t.Context(), target, r, Acceptance{Within: long}); err != nil || string(reply.Body) != "first" {
 			t.Fatalf("first reply %+v, %v", reply, err)
 		}
--- a/entry/peer/server.go
+++ b/entry/peer/server.go
@@ -224,7 +224,7 @@
 		if err := params(req, &r); err != nil {
 			return nil, err
 		}
-		return handler.Document(r.Above), nil
+		return handler.Document(r.AboveGeneration), nil
 	}
 	return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeMethodNotFound, Message: "no such method"}
 }
--- a/entry/probe/probe.go
+++ b/entry/probe/probe.go
@@ -132,7 +132,7 @@
 	if err != nil || h.ID != t.ID {
 		return // nothing is learnt of a leaf that doesn't answer as itself
 	}
-	p.config.Learner.Learn(t.ID, leafclient.Said{Versions: h.Versions, Draining: h.Draining, Born: h.Born})
+	p.config.Learner.Learn(t.ID, leafclient.Said{Versions: h.Versions, Draining: h.Draining, Born: h.StartMillis})
 }
 
 // TargetOf says how a leaf of the view is reached.
--- a/entry/probe/probe_test.go
+++ b/entry/probe/probe_test.go
@@ -35,7 +35,7 @@
 		warmed: make(map[string]int), asked: make(map[string]int),
 		heard: make(map[string]time.Time), learned: make(map[string][]uint64), born: make(map[string]int64),
 		answer: func(id string) (*leafapi.Health, error) {
-			return &leafapi.Health{ID: id, Ready: true, Versions: []uint64{7}, Born: 5}, nil
+			return &leafapi.Health{ID: id, Ready: true, Versions: []uint64{7}, StartMillis: 5}, nil
 		},
 	}
 }
--- a/scenarios/expect_test.go
+++ b/scenarios/expect_test.go
@@ -129,7 +129,7 @@
 func (a *answer) tiles() error {
 	var covered, missing keyrange.Set
 	for _, r := range a.results {
-		for _, part := range append([]keyrange.Range{r.Range}, r.More...) {
+		for _, part := range append([]keyrange.Range{r.Range}, r.MoreRanges...) {
 			if covered.Overlaps(part) {
 				return fmt.Errorf("range %s is covered twice", part)
 			}
--- a/scenarios/world_test.go
+++ b/scenarios/world_test.go
@@ -59,7 +59,7 @@
 	Foreign    bool    `json:"foreign"` // a result is of another question or range
 	Err        string  `json:"err,omitempty"`
 	results    []callerapi.Result
-	missing    []callerapi.Missing
+	missing    []callerapi.MissingPart
 }
 
 func newWorld(dir string) *world {
@@ -232,7 +232,7 @@
 		a.Foreign = true
 		return
 	}
-	ranges := append([]keyrange.Range{r.Range}, r.More...)
+	ranges := append([]keyrange.Range{r.Range}, r.MoreRanges...)
 	for _, l := range lines {
 		a.Mixed = a.Mixed || l.Version != a.Version
 		a.Foreign = a.Foreign || l.Question != leaf.Hash([]byte(a.Body)) || l.Upstream != r.Upstream || !slices.Contains(ranges, l.Range)
--- a/standin/leaf/hints.go
+++ b/standin/leaf/hints.go
@@ -41,11 +41,11 @@
 	return hintsSnapshot{
 		at: now,
 		health: leafapi.Health{
-			ID:       s.id,
-			Ready:    !s.declining(now),
-			Draining: s.faults.Draining,
-			Versions: slices.Clone(s.settings.Versions),
-			Born:     s.born.UnixMilli(),
+			ID:          s.id,
+			Ready:       !s.declining(now),
+			Draining:    s.faults.Draining,
+			Versions:    slices.Clone(s.settings.Versions),
+			StartMillis: s.born.UnixMilli(),
 		},
 		load: leafapi.Load{InFlight: s.slots.running, Queued: len(s.slots.waiting)},
 	}
--- a/standin/leaf/replies.go
+++ b/standin/leaf/replies.go
@@ -168,7 +168,7 @@
 	versions, draining, born := s.settings.Versions, s.faults.Draining, s.born.UnixMilli()
 	s.mu.Unlock()
 	h.Set(leafapi.HeaderAttempt, r.attempt)
-	h.Set(leafapi.HeaderBorn, strconv.FormatInt(born, 10))
+	h.Set(leafapi.HeaderStartMillis, strconv.FormatInt(born, 10))
 	h.Set(leafapi.HeaderVersions, leafapi.FormatVersions(versions))
 	h.Set(leafapi.HeaderRanges, keyrange.FormatList(r.ranges))
 	h.Set(echo.HeaderContentLength, strconv.Itoa(len(r.body)))
