--- a/api/callerapi/callerapi.go
+++ b/api/callerapi/callerapi.go
@@ -1,5 +1,5 @@
-// Package callerapi states the protocol between a caller and an entry:
-// HTTP/JSON. docs/API.md is its page.
+// Package callerapi defines the HTTP/JSON protocol between callers and entries, the
+// project's query servers: paths, headers and bodies. docs/API.md describes it.
 package callerapi
 
 import "github.com/fuchsiaroad/fuchsiaroad/kernel/keyrange"
@@ -7,7 +7,7 @@
 // Paths of an entry, for callers and operators.
 const (
 	PathQuery        = "/v1/services/:service/query" // POST
-	PathRouted       = "/v1/routes/*"                // POST: what follows, and the Host header, choose the route
+	PathRouted       = "/v1/routes/*"                // POST: the rest of the path and the Host header select the route
 	PathConfig       = "/v1/config"                  // GET: ConfigState; PUT?if_version=N: the TOML document
 	PathConfigStatus = "/v1/config/status"           // GET: ConfigStatus over all instances
 	PathInstances    = "/v1/instances"               // GET
@@ -20,7 +20,7 @@
 
 // Request headers of a query.
 const (
-	HeaderDeadlineMS     = "Fuchsiaroad-Deadline-Ms" // most milliseconds the caller waits
+	HeaderDeadlineMS     = "Fuchsiaroad-Deadline-Ms" // maximum time in milliseconds that the caller waits
 	HeaderIdempotencyKey = "Idempotency-Key"
 )
 
@@ -30,7 +30,7 @@
 	Range    keyrange.Range `json:"range"`
 }
 
-// MissingPart is a part without data and the reason.
+// MissingPart is a part that the answer lacks, with the reason.
 type MissingPart struct {
 	Part
 	Reason string `json:"reason"`
@@ -39,24 +39,24 @@
 // Result is one shard's reply.
 type Result struct {
 	Part
-	// MoreRanges lists further ranges that the body covers; usually absent.
+	// MoreRanges lists further key ranges that the body covers; usually absent.
 	MoreRanges []keyrange.Range `json:"more,omitempty"`
 	Body       []byte           `json:"body"` // base64 in JSON
 }
 
-// Timing is how long the parts of the work took, in microseconds.
+// Timing is the time that the query took, in microseconds.
 type Timing struct {
 	TotalUS int64 `json:"total_us"`
 }
 
-// Work counts what the query cost upstream.
+// Work counts the sub-requests that the query sent to leaves.
 type Work struct {
 	Sent    int `json:"sent"`
 	Hedges  int `json:"hedges"`
 	Retries int `json:"retries"`
 }
 
-// Answer is the body of every answered query, of any outcome.
+// Answer is the response body of every query that was not refused, whatever its outcome.
 type Answer struct {
 	Request string        `json:"request"`
 	Outcome string        `json:"outcome"` // complete, partial, not_run, unknown, failed
@@ -65,11 +65,11 @@
 	Covered []Part        `json:"covered"`
 	Missing []MissingPart `json:"missing"`
 	Results []Result      `json:"results"`
-	// Replayed says that this is the recorded outcome of an earlier request
-	// with the same Idempotency-Key; results are then absent.
+	// Replayed is true if this is the recorded outcome of an earlier request with the same
+	// Idempotency-Key; results are then absent.
 	Replayed bool   `json:"replayed,omitempty"`
 	Reason   string `json:"reason,omitempty"`
-	// RetryAfterMS says when asking again may tell more, in milliseconds.
+	// RetryAfterMS is the time in milliseconds after which a retry may return more.
 	RetryAfterMS int64  `json:"retry_after_ms,omitempty"`
 	Timing       Timing `json:"timing"`
 	Work         Work   `json:"work"`
@@ -81,11 +81,11 @@
 	Title  string `json:"title"`
 	Status int    `json:"status"`
 	Detail string `json:"detail,omitempty"`
-	// Field names the offending header, parameter or document path.
+	// Field names the invalid header, parameter or document path.
 	Field string `json:"field,omitempty"`
 	// Outcome is not_run on every refusal of a query.
 	Outcome string `json:"outcome,omitempty"`
-	// RetryAfterMS says when to come back, in milliseconds.
+	// RetryAfterMS is the time in milliseconds after which to retry.
 	RetryAfterMS int64 `json:"retry_after_ms,omitempty"`
 }
 
@@ -96,7 +96,7 @@
 	Document   string `json:"document"`
 }
 
-// InstanceConfig is one instance's generation in force, as its digest said.
+// InstanceConfig is one instance's generation in force, as its last gossip digest stated it.
 type InstanceConfig struct {
 	Instance   string `json:"instance"`
 	Generation uint64 `json:"generation"`
--- a/api/leafapi/leafapi.go
+++ b/api/leafapi/leafapi.go
@@ -1,5 +1,5 @@
-// Package leafapi states the protocol between an entry and a leaf: HTTP/1.1
-// with the headers below. docs/LEAF-PROTOCOL.md is its page.
+// Package leafapi defines the protocol between an entry, which is the project's query
+// server, and a leaf: HTTP/1.1 with the headers below. docs/LEAF-PROTOCOL.md describes it.
 package leafapi
 
 import (
@@ -11,30 +11,30 @@
 const (
 	PathRun    = "/v1/run"    // POST: run one sub-request
 	PathHealth = "/v1/health" // GET: Health
-	PathLoad   = "/v1/load"   // GET: Load, a hint that may lag or mislead
+	PathLoad   = "/v1/load"   // GET: Load, a hint that may be outdated or wrong
 )
 
 // Request headers.
 const (
-	HeaderRequest    = "Fuchsiaroad-Request"     // the query's id, the same for all its attempts
-	HeaderAttempt    = "Fuchsiaroad-Attempt"     // unguessable id of this attempt; the reply repeats it
-	HeaderVersion    = "Fuchsiaroad-Version"     // request: version wanted, 0 for any; reply: version served
-	HeaderRange      = "Fuchsiaroad-Range"       // from-to, decimal, half open
-	HeaderDeadlineMS = "Fuchsiaroad-Deadline-Ms" // milliseconds left when the request was sent
+	HeaderRequest    = "Fuchsiaroad-Request"     // the query's ID, the same for all its attempts
+	HeaderAttempt    = "Fuchsiaroad-Attempt"     // unguessable ID of this attempt; the reply repeats it
+	HeaderVersion    = "Fuchsiaroad-Version"     // request: index version wanted, 0 for any; reply: version served
+	HeaderRange      = "Fuchsiaroad-Range"       // key range from-to, decimal, end excluded
+	HeaderDeadlineMS = "Fuchsiaroad-Deadline-Ms" // milliseconds remaining when the request was sent
 )
 
 // Reply headers.
 const (
 	HeaderRanges      = "Fuchsiaroad-Ranges"     // ranges covered by a reply, or held by a leaf that declines
-	HeaderVersions    = "Fuchsiaroad-Versions"   // index versions served now, comma-separated
+	HeaderVersions    = "Fuchsiaroad-Versions"   // index versions that the leaf serves, comma-separated
 	HeaderDraining    = "Fuchsiaroad-Draining"   // "1": the leaf is leaving
 	HeaderStartMillis = "Fuchsiaroad-Born"       // Unix ms of the leaf's start by its own clock; absent: not reported
-	HeaderNotRun      = "Fuchsiaroad-Not-Run"    // a Decline: the request provably did not run
+	HeaderNotRun      = "Fuchsiaroad-Not-Run"    // a Decline: the request certainly did not run
 	HeaderChecksum    = "Fuchsiaroad-Checksum"   // xxhash64 of the body, 16 hex digits
 	HeaderServiceUS   = "Fuchsiaroad-Service-Us" // microseconds the request held a slot
 )
 
-// Decline is the value of HeaderNotRun.
+// Decline is a leaf's reason for not running a request, the value of HeaderNotRun.
 type Decline string
 
 // The reasons for which a leaf declines.
@@ -46,7 +46,7 @@
 	DeclineDeadline     Decline = "deadline"
 )
 
-// Health is the answer of PathHealth. It may lag or mislead.
+// Health is the response body of PathHealth. It may be outdated or wrong.
 type Health struct {
 	ID       string   `json:"id"`
 	Ready    bool     `json:"ready"`
@@ -56,14 +56,14 @@
 	StartMillis int64 `json:"born,omitempty"`
 }
 
-// Load is the answer of PathLoad. It may lag or mislead.
+// Load is the response body of PathLoad. It may be outdated or wrong.
 type Load struct {
 	InFlight int `json:"in_flight"`
 	Queued   int `json:"queued"`
 }
 
-// ParseStartMillis reads a HeaderBorn value; 0 stands for one that is absent or malformed, since
-// a birth is only ever compared with another.
+// ParseStartMillis parses a HeaderStartMillis value. It returns 0 for an absent or malformed
+// value, since start times are only compared with each other.
 func ParseStartMillis(s string) int64 {
 	born, err := strconv.ParseInt(s, 10, 64)
 	if err != nil || born < 0 {
@@ -72,7 +72,7 @@
 	return born
 }
 
-// FormatVersions writes a HeaderVersions value.
+// FormatVersions returns a HeaderVersions value.
 func FormatVersions(vs []uint64) string {
 	parts := make([]string, len(vs))
 	for i, v := range vs {
@@ -81,7 +81,8 @@
 	return strings.Join(parts, ",")
 }
 
-// ParseVersions reads a HeaderVersions value. Anything malformed is an error.
+// ParseVersions parses a HeaderVersions value. It returns nil for "" and an error for a
+// malformed value.
 func ParseVersions(s string) ([]uint64, error) {
 	if s == "" {
 		return nil, nil
--- a/api/peerapi/peerapi.go
+++ b/api/peerapi/peerapi.go
@@ -1,18 +1,19 @@
-// Package peerapi states the messages between entries: JSON-RPC 2.0 over TCP,
-// authenticated by a challenge on a shared key when the connection opens.
+// Package peerapi defines the messages between entries, the project's query servers:
+// JSON-RPC 2.0 over TCP. Both sides prove that they know a shared key, by challenge and
+// response, when a connection opens.
 package peerapi
 
 // Methods.
 const (
 	MethodChallenge = "challenge" // no params -> Challenge
 	MethodHello     = "hello"     // Hello -> Welcome
-	MethodDigest    = "digest"    // Digest -> Digest: an exchange
+	MethodDigest    = "digest"    // Digest -> Digest: an exchange of gossip digests
 	MethodDocument  = "document"  // DocumentRequest -> Document
 	MethodSync      = "sync"      // SyncRequest -> SyncReply
-	MethodOffer     = "offer"     // ForwardRequest -> OfferReply: nothing is run yet
-	MethodRun       = "run"       // ForwardID -> ForwardReply: runs what was offered, once
-	MethodRest      = "rest"      // ForwardID -> ForwardReply: what came since the last reply, when something has
-	MethodCancel    = "cancel"    // ForwardID: the client has gone
+	MethodOffer     = "offer"     // ForwardRequest -> OfferReply: does not run the request
+	MethodRun       = "run"       // ForwardID -> ForwardReply: runs the offered request, once
+	MethodRest      = "rest"      // ForwardID -> ForwardReply: waits for results after the last reply and returns them
+	MethodCancel    = "cancel"    // ForwardID: the client has disconnected
 )
 
 // Challenge is a server's random nonce, hex.
@@ -20,7 +21,7 @@
 	Nonce string `json:"nonce"`
 }
 
-// Hello proves the client: MAC is hex HMAC-SHA256(key, nonce | instance), and
+// Hello proves that the client knows the key: MAC is hex HMAC-SHA256(key, nonce | instance), and
 // Nonce is the client's own challenge to the server.
 type Hello struct {
 	Instance string `json:"instance"`
@@ -28,54 +29,55 @@
 	Nonce    string `json:"nonce"`
 }
 
-// Welcome proves the server in turn.
+// Welcome proves that the server knows the key, by a MAC over the nonce of Hello.
 type Welcome struct {
 	Instance string `json:"instance"`
 	MAC      string `json:"mac"`
 }
 
-// Digest is what an entry tells each second. Its size is bounded by limits on
-// its lists, not by the size of the fleet.
+// Digest is the gossip digest that an entry sends each second. Limits on its lists bound
+// its size, whatever the number of instances.
 type Digest struct {
 	Instance   string `json:"instance"`
 	Zone       string `json:"zone"`
 	Generation uint64 `json:"generation"`
 	Hash       string `json:"hash"`
 	Draining   bool   `json:"draining,omitempty"`
-	// DrainMarks lists leaves seen to be leaving, most recent first.
+	// DrainMarks lists the leaves that were observed to drain, most recent first.
 	DrainMarks []DrainMark `json:"leaving,omitempty"`
-	// Quarantine lists quarantined fingerprints and suspects.
+	// Quarantine lists the records of quarantined and suspected fingerprints.
 	Quarantine []QuarantineRecord `json:"quarantine,omitempty"`
 	// Generations is a sample of other instances' generations in force.
 	Generations []InstanceGeneration `json:"generations,omitempty"`
 }
 
-// DrainMark is one leaf's drain mark with the age of its last observation.
+// DrainMark states that a leaf drains, with the age of the last observation of it.
 type DrainMark struct {
 	Leaf string `json:"leaf"`
-	// StartMillis is the start of the leaf that the mark is of, 0: not known.
+	// StartMillis is the leaf's start time in Unix milliseconds, which tells its restarts
+	// apart; 0: not known.
 	StartMillis int64 `json:"born,omitempty"`
 	AgeMS       int64 `json:"age_ms"`
 }
 
-// QuarantineRecord is a fingerprint's record. The fingerprint is a keyed hash: it
-// says nothing of the caller's request.
+// QuarantineRecord is the quarantine state of a request fingerprint. The fingerprint is a
+// keyed hash: it reveals nothing about the request.
 type QuarantineRecord struct {
 	Fingerprint string `json:"fp"`
-	// Level is the record's place on the ladder of kernel/quarantine: its remainder
-	// by 3 says clear, suspect or in quarantine, and the greater level wins.
+	// Level is the record's level as defined by kernel/quarantine: its remainder modulo 3
+	// is clear, suspect or in quarantine. Of two records the greater level applies.
 	Level       int   `json:"level"`
 	RemainingMS int64 `json:"left_ms"`
 }
 
-// InstanceGeneration is one instance's generation, relayed.
+// InstanceGeneration is another instance's configuration generation, relayed by gossip.
 type InstanceGeneration struct {
 	Instance   string `json:"instance"`
 	Generation uint64 `json:"generation"`
 	AgeMS      int64  `json:"age_ms"`
 }
 
-// DocumentRequest asks for the document in force, if newer than Above.
+// DocumentRequest asks for the document in force if it is newer than AboveGeneration.
 type DocumentRequest struct {
 	AboveGeneration uint64 `json:"above"`
 }
@@ -87,27 +89,28 @@
 	TOML       []byte `json:"toml,omitempty"`
 }
 
-// SyncRequest asks what another instance knows of the platform's store, if it
-// differs from what the asking one has.
+// SyncRequest asks another instance for its state of the platform's store, as far as it
+// differs from that of the requesting instance.
 type SyncRequest struct {
-	// Version is the configuration in force, 0 for none.
+	// Version is that of the configuration in force, 0 for none.
 	Version uint64 `json:"version"`
-	// AcceptsChange says that the asking instance takes a change of that version.
+	// AcceptsChange is true if the requesting instance can apply a change from that version.
 	AcceptsChange bool `json:"changes,omitempty"`
-	// LeavesHash is that of the list of leaves received last, 0 for none.
+	// LeavesHash is the hash of the list of leaves received last, 0 for none.
 	LeavesHash uint64 `json:"hash"`
-	// FleetHash is that of the list of instances in force, 0 for none.
+	// FleetHash is the hash of the list of instances in force, 0 for none.
 	FleetHash uint64 `json:"fleet"`
-	// AgeMS is the age of what the asking instance knows of configuration and leaves; -1
-	// while it knows nothing.
+	// AgeMS is the age of the requesting instance's configuration and list of leaves; -1
+	// if it has none.
 	AgeMS int64 `json:"age_ms"`
-	// Observations is what the asking instance, and those that asked it, saw of leaves.
+	// Observations are those of the requesting instance and of the instances that sent it
+	// requests.
 	Observations []LeafObservation `json:"seen,omitempty"`
-	// Quarantine lists quarantined fingerprints and suspects.
+	// Quarantine lists the records of quarantined and suspected fingerprints.
 	Quarantine []QuarantineRecord `json:"quarantine,omitempty"`
 }
 
-// LeafObservation is one outcome at a leaf, or the report that a leaf is slow.
+// LeafObservation is the duration of one request at a leaf, or the report that a leaf is slow.
 type LeafObservation struct {
 	Leaf   string `json:"leaf"`
 	TookMS int64  `json:"took_ms"`
@@ -115,43 +118,45 @@
 	AgeMS  int64  `json:"age_ms"`
 }
 
-// SyncReply is what an instance knows of the store. Packed JSON is compressed by gzip where
-// it is long.
+// SyncReply is an instance's state of the store. Packed JSON is JSON that is compressed by
+// gzip if it is long.
 type SyncReply struct {
 	Version uint64 `json:"version"`
-	// ConfigAgeMS is how long ago the read of the configuration began that
-	// showed this version to be the newest; -1 for never.
+	// ConfigAgeMS is the time since the start of the store read that last showed this
+	// version to be the newest; -1 for never.
 	ConfigAgeMS int64 `json:"config_age_ms"`
-	// Config is the configuration as packed JSON, if its version is another than that
-	// asked with and Change is not set.
+	// Config is the configuration as packed JSON, if its version differs from the
+	// request's and ConfigChange is not set.
 	Config []byte `json:"config,omitempty"`
-	// ConfigChange is what leads to the version from the one asked with, as packed JSON, and
-	// ConfigHash the hash of the configuration that it leads to.
+	// ConfigChange is the change from the request's version to this one, as packed JSON,
+	// and ConfigHash the hash of the resulting configuration.
 	ConfigChange []byte `json:"change,omitempty"`
 	ConfigHash   uint64 `json:"config_hash,omitempty"`
-	// Revision is the store's at the last read of the leaves.
+	// Revision is the store's revision at the last read of the leaves.
 	Revision uint64 `json:"revision"`
-	// LeavesAgeMS is how long ago that read began; -1 for never.
+	// LeavesAgeMS is the time since the start of that read; -1 for never.
 	LeavesAgeMS int64 `json:"leaves_age_ms"`
-	// LeavesHash is that of the leaves known, 0 before the first list.
+	// LeavesHash is the hash of the known leaves, 0 before the first list.
 	LeavesHash uint64 `json:"hash"`
-	// Leaves is a list of leaves as packed JSON, if the hash is another than that
-	// asked with: all of them, or those that differ from the list with the hash Base.
+	// Leaves is a list of leaves as packed JSON, if LeavesHash differs from the request's:
+	// all of them, or those that differ from the list with the hash BaseLeavesHash.
 	Leaves []byte `json:"leaves,omitempty"`
-	// BaseLeavesHash is the hash of the list that Leaves and Gone change; 0: Leaves is all.
+	// BaseLeavesHash is the hash of the list to which Leaves and RemovedLeaves are the
+	// changes; 0: Leaves lists all leaves.
 	BaseLeavesHash uint64 `json:"base,omitempty"`
-	// RemovedLeaves lists the IDs of leaves that the list with the hash Base has and that are no more.
+	// RemovedLeaves are the IDs of leaves that were removed since the list with the hash
+	// BaseLeavesHash.
 	RemovedLeaves []string `json:"gone,omitempty"`
-	// FleetHash is the hash of the instances known, 0 before the first list, and FleetAgeMS
-	// how long ago the read of them began; -1 for never.
+	// FleetHash is the hash of the known instances, 0 before the first list, and FleetAgeMS
+	// the time since the start of the read of them; -1 for never.
 	FleetHash  uint64 `json:"fleet"`
 	FleetAgeMS int64  `json:"fleet_age_ms"`
-	// Instances is the list of instances as packed JSON, if its hash is another than that
-	// asked with.
+	// Instances is the list of instances as packed JSON, if FleetHash differs from the
+	// request's.
 	Instances []byte `json:"instances,omitempty"`
-	// SlowLeaves lists the leaves that are taken to be slow.
+	// SlowLeaves lists the leaves that the replying instance treats as slow.
 	SlowLeaves []LeafObservation `json:"slow,omitempty"`
-	// Quarantine lists quarantined fingerprints and suspects.
+	// Quarantine lists the records of quarantined and suspected fingerprints.
 	Quarantine []QuarantineRecord `json:"quarantine,omitempty"`
 }
 
@@ -163,8 +168,8 @@
 // ForwardRequest is a client's request that another instance is asked to run.
 type ForwardRequest struct {
 	ID uint64 `json:"id"`
-	// Version is the configuration in force where it came in: an instance that
-	// has an older one declines.
+	// Version is that of the configuration in force at the receiving instance of the
+	// client's request. An instance with an older one declines.
 	Version uint64              `json:"version"`
 	Request string              `json:"request"`
 	Method  string              `json:"method"`
@@ -172,23 +177,23 @@
 	Host    string              `json:"host"`
 	Header  map[string][]string `json:"header"`
 	Body    []byte              `json:"body,omitempty"`
-	// ElapsedUS is the microseconds since the request came in, and LeftUS those
-	// that are left of its time.
+	// ElapsedUS is the time since the client's request arrived, and RemainingUS the time
+	// until its deadline, in microseconds.
 	ElapsedUS   int64 `json:"spent_us"`
 	RemainingUS int64 `json:"left_us"`
-	// ClientNetworkUS is the microseconds that the request and its answer spend between the
-	// client and the instance that took it in.
+	// ClientNetworkUS is the network time of the request and its answer between the client
+	// and the instance that received it, in microseconds.
 	ClientNetworkUS int64 `json:"way_us"`
-	// Gather, if it is set, asks for some shards only.
+	// Gather, if it is set, limits the request to some shards.
 	Gather *GatherRequest `json:"gather,omitempty"`
 }
 
-// GatherRequest names the shards that are asked for.
+// GatherRequest names the shards to query.
 type GatherRequest struct {
 	Service string `json:"service"`
-	// Upstream is named by the set of its shards.
+	// Upstream is a name that identifies the set of shards.
 	Upstream string `json:"upstream"`
-	// TopK is how many records the answer has at most.
+	// TopK is the maximum number of records in the answer.
 	TopK int `json:"top_k"`
 	// Ranges are whole shards.
 	Ranges []Range `json:"ranges"`
@@ -197,39 +202,39 @@
 // Range is a key range, its end excluded.
 type Range [2]uint64
 
-// GatherResult is what came of a Gather since the last reply; the reply's body is merged
-// of its parts.
+// GatherResult is the result of a GatherRequest since the last reply; the reply's body is
+// merged from the parts of these shards.
 type GatherResult struct {
 	// Index is the index version of the parts.
 	Index  uint64  `json:"index"`
 	Ranges []Range `json:"ranges"`
-	// Signatures are those of the parts, one a shard.
+	// Signatures are the leaves' signatures of the parts, one per shard.
 	Signatures []string `json:"signatures"`
-	// MorePending says that more may come: MethodRest waits for it.
+	// MorePending is true if further parts may follow: MethodRest waits for them.
 	MorePending bool `json:"going,omitempty"`
 	// Sent, Hedges and Retries count the attempts at leaves.
 	Sent    int `json:"sent"`
 	Hedges  int `json:"hedges,omitempty"`
 	Retries int `json:"retries,omitempty"`
-	// Refused says why nothing was run; empty where something was.
+	// Refused is the reason why nothing was run; empty if something was.
 	Refused string `json:"refused,omitempty"`
 }
 
-// OfferReply says whether a request will be run when that is asked for.
+// OfferReply states whether an offered request will be run on MethodRun.
 type OfferReply struct {
-	// Declined says why not; empty when it will.
+	// Declined is the reason why it will not; empty if it will.
 	Declined string `json:"declined,omitempty"`
 }
 
-// ForwardReply is the answer to a request that was run.
+// ForwardReply is the reply to a request that was run.
 type ForwardReply struct {
-	// Version is the configuration by which it was run.
+	// Version is that of the configuration with which the request was run.
 	Version uint64              `json:"version"`
 	Status  int                 `json:"status"`
 	Header  map[string][]string `json:"header"`
 	Body    []byte              `json:"body"`
-	// RunUS is the microseconds for which it ran.
+	// RunUS is the time for which the request ran, in microseconds.
 	RunUS int64 `json:"run_us"`
-	// Gathered tells of the parts, where the request had a Gather.
+	// Gathered is the result of the request's Gather; nil if it had none.
 	Gathered *GatherResult `json:"gathered,omitempty"`
 }
--- a/api/platformapi/platformapi.go
+++ b/api/platformapi/platformapi.go
@@ -1,16 +1,17 @@
-// Package platformapi states the platform's protocol as this project uses it:
-// an object API with versions, conditional updates and watches, and the list
-// of instances, all HTTP/JSON with a bearer token.
+// Package platformapi defines the part of the platform's protocol that this project
+// uses: an object API with versions, conditional updates and watches, and the list of
+// instances, all HTTP/JSON with a bearer token.
 //
 //	GET    /v1/objects/{kind}/{name}              -> Object, 404
 //	PUT    /v1/objects/{kind}/{name}?if_version=N -> Object (value empty), 409 Conflict
 //	DELETE /v1/objects/{kind}/{name}?if_version=N -> 204, 409 Conflict
 //	GET    /v1/objects/{kind}                     -> List
-//	GET    /v1/watch/{kind}?since=R&wait_ms=T     -> Events; 410 when R is too old: list again
+//	GET    /v1/watch/{kind}?since=R&wait_ms=T     -> Events; 410 if R is too old: list again
 //	GET    /v1/instances                          -> Instances
 //
-// if_version=0 creates. A version is unique within the store and grows with
-// each write. 429 means over the rate, 503 an outage; both may carry Retry-After.
+// if_version=0 creates an object. A version is unique within the store and increases
+// with each write. 429 means that the rate limit is exceeded, 503 an outage; both may
+// carry Retry-After.
 package platformapi
 
 // Paths of the platform.
@@ -26,7 +27,7 @@
 // Kinds of objects that fuchsiaroad keeps.
 const (
 	KindConfig = "fuchsiaroad-config" // one object, NameConfig
-	KindLedger = "fuchsiaroad-ledger" // one object a bucket
+	KindLedger = "fuchsiaroad-ledger" // one object per bucket of the ledger
 	NameConfig = "current"
 )
 
@@ -38,7 +39,7 @@
 	Value   []byte `json:"value,omitempty"` // base64 in JSON
 }
 
-// List is all objects of a kind, and the revision to watch from.
+// List is all objects of a kind, with the store revision from which to watch.
 type List struct {
 	Revision uint64   `json:"revision"`
 	Objects  []Object `json:"objects"`
@@ -50,7 +51,7 @@
 	Deleted bool   `json:"deleted,omitempty"`
 }
 
-// Events is the answer of a watch; it is empty when the wait passed.
+// Events is the response to a watch; it has no events if the wait time passed without any.
 type Events struct {
 	Revision uint64  `json:"revision"`
 	Events   []Event `json:"events"`
@@ -61,7 +62,7 @@
 	Version uint64 `json:"version"`
 }
 
-// InstanceState is the platform's word about an instance; it lags.
+// InstanceState is the state of an instance as the platform reports it, with a delay.
 type InstanceState string
 
 // The states of an instance.
@@ -76,7 +77,7 @@
 	RoleLeaf  = "leaf"
 )
 
-// Instance is one line of the list.
+// Instance is one entry or leaf process in the platform's list.
 type Instance struct {
 	ID          string        `json:"id"`
 	Role        string        `json:"role"`
