--- a/entry/control/config.go
+++ b/entry/control/config.go
@@ -35,8 +35,8 @@
 // Quarantine gives and takes the quarantined leaves that digests carry.
 // *executor.Executor implements it.
 type Quarantine interface {
-	Quarantine() []peerapi.Quarantined
-	MergeQuarantine(list []peerapi.Quarantined)
+	Quarantine() []peerapi.QuarantineRecord
+	MergeQuarantine(list []peerapi.QuarantineRecord)
 }
 
 // Logger writes log lines for operators. *telemetry.Part implements it.
--- a/entry/executor/execute.go
+++ b/entry/executor/execute.go
@@ -198,7 +198,7 @@
 	out := callerapi.Answer{
 		Request: r.id, Outcome: string(a.Outcome), Version: a.Version, Share: a.Share, Reason: a.Reason,
 		Covered: make([]callerapi.Part, 0, len(a.Covered)),
-		Missing: make([]callerapi.Missing, 0, len(a.Missing)),
+		Missing: make([]callerapi.MissingPart, 0, len(a.Missing)),
 		Results: make([]callerapi.Result, 0, len(a.Results)),
 		Work:    callerapi.Work{Sent: a.Sent, Hedges: a.Hedges, Retries: a.Retries},
 	}
@@ -206,10 +206,10 @@
 		out.Covered = append(out.Covered, r.callerPart(p))
 	}
 	for _, m := range a.Missing {
-		out.Missing = append(out.Missing, callerapi.Missing{Part: r.callerPart(m.Part), Reason: missingReason(m)})
+		out.Missing = append(out.Missing, callerapi.MissingPart{Part: r.callerPart(m.Part), Reason: missingReason(m)})
 	}
 	for _, res := range a.Results {
-		out.Results = append(out.Results, callerapi.Result{Part: r.callerPart(res.Part), More: res.MoreRanges, Body: res.Body})
+		out.Results = append(out.Results, callerapi.Result{Part: r.callerPart(res.Part), MoreRanges: res.MoreRanges, Body: res.Body})
 	}
 	return out
 }
--- a/entry/hosted/fleet_test.go
+++ b/entry/hosted/fleet_test.go
@@ -259,7 +259,7 @@
 		return nil, context.DeadlineExceeded
 	}
 	reply := other.node.Sync(p.instance, r)
-	size := len(reply.Config) + len(reply.Change) + len(reply.Leaves) + len(reply.Instances)
+	size := len(reply.Config) + len(reply.ConfigChange) + len(reply.Leaves) + len(reply.Instances)
 	p.sentBytes.Add(int64(size))
 	if p.bandwidth > 0 {
 		time.Sleep(time.Duration(size) * time.Second / time.Duration(p.bandwidth))
--- a/entry/hosted/forwarding/gather.go
+++ b/entry/hosted/forwarding/gather.go
@@ -106,7 +106,7 @@
 	f.gatherDelays.observe(time.Since(now) - time.Duration(reply.RunUS)*time.Microsecond)
 	for {
 		onReply(decodeGatherReply(reply))
-		if reply.Gathered == nil || !reply.Gathered.Going {
+		if reply.Gathered == nil || !reply.Gathered.MorePending {
 			return nil
 		}
 		if reply, err = f.config.Peers.NextReply(ctx, peerTarget(to), request.ID); err != nil {
@@ -138,9 +138,9 @@
 }
 
 // encodeGather returns the message that names a group's shards.
-func encodeGather(r *executor.Request, g executor.Group) *peerapi.Gather {
+func encodeGather(r *executor.Request, g executor.Group) *peerapi.GatherRequest {
 	up := &r.View.Upstreams[g.Upstream]
-	out := &peerapi.Gather{Service: r.Service.Config.Name, Upstream: up.Name, TopK: r.Service.Config.TopK}
+	out := &peerapi.GatherRequest{Service: r.Service.Config.Name, Upstream: up.Name, TopK: r.Service.Config.TopK}
 	for _, k := range g.Ranges {
 		out.Ranges = append(out.Ranges, peerapi.Range{k.From, k.To})
 	}
@@ -154,7 +154,7 @@
 		return &executor.GatherReply{}
 	}
 	return &executor.GatherReply{
-		Version: g.Index, Ranges: decodeRanges(g.Ranges), HasMore: g.Going, Sent: g.Sent, Hedges: g.Hedges, Retries: g.Retries,
+		Version: g.Index, Ranges: decodeRanges(g.Ranges), HasMore: g.MorePending, Sent: g.Sent, Hedges: g.Hedges, Retries: g.Retries,
 		Attachment: &gateway.GatherResult{Signatures: g.Signatures, Body: reply.Body},
 	}
 }
@@ -207,7 +207,7 @@
 
 // findGroup returns the shards that a message names, as a list of one group; nil if the view
 // does not have them.
-func findGroup(v *view.View, g *peerapi.Gather) []query.Group {
+func findGroup(v *view.View, g *peerapi.GatherRequest) []query.Group {
 	service := v.Services[g.Service]
 	if service == nil {
 		return nil
@@ -224,7 +224,7 @@
 // that waits for each further one; nil if there are none.
 func (f *Forwarder) runGather(ctx context.Context, v *view.View, r *peerapi.ForwardRequest, received gateway.RelayedRequest) (*peerapi.ForwardReply, peer.NextReplyFunc) {
 	if reason := f.gatherDeclineReason(v, r); reason != "" { // the view has changed since the offer
-		return &peerapi.ForwardReply{Version: v.Generation, Gathered: &peerapi.Gathered{Refused: reason}}, nil
+		return &peerapi.ForwardReply{Version: v.Generation, Gathered: &peerapi.GatherResult{Refused: reason}}, nil
 	}
 	start := time.Now()
 	gathering := f.gateway.Gather(ctx, v, gateway.GatherRequest{
@@ -234,7 +234,7 @@
 		reply := encodeGathered(gathering.Next(ctx))
 		reply.Version = v.Generation
 		reply.RunUS = time.Since(start).Microseconds()
-		return reply, reply.Gathered.Going
+		return reply, reply.Gathered.MorePending
 	}
 	reply, more := next(ctx)
 	if !more {
@@ -246,10 +246,10 @@
 // encodeGathered returns the message with what was gathered, or with the error.
 func encodeGathered(gathered *gateway.GatherResult, err error) *peerapi.ForwardReply {
 	if err != nil {
-		return &peerapi.ForwardReply{Gathered: &peerapi.Gathered{Refused: err.Error()}}
+		return &peerapi.ForwardReply{Gathered: &peerapi.GatherResult{Refused: err.Error()}}
 	}
-	out := &peerapi.Gathered{
-		Index: gathered.Version, Signatures: gathered.Signatures, Going: gathered.HasMore, Sent: gathered.Sent, Hedges: gathered.Hedges, Retries: gathered.Retries,
+	out := &peerapi.GatherResult{
+		Index: gathered.Version, Signatures: gathered.Signatures, MorePending: gathered.HasMore, Sent: gathered.Sent, Hedges: gathered.Hedges, Retries: gathered.Retries,
 	}
 	for _, k := range gathered.Ranges {
 		out.Ranges = append(out.Ranges, peerapi.Range{k.From, k.To})
--- a/entry/hosted/membership.go
+++ b/entry/hosted/membership.go
@@ -247,5 +247,5 @@
 		return
 	}
 	out.FleetAgeMS = statesync.AgeMS(readAt, now)
-	encoded.FillReply(r.Fleet, out)
+	encoded.FillReply(r.FleetHash, out)
 }
--- a/entry/hosted/statesync/state.go
+++ b/entry/hosted/statesync/state.go
@@ -120,10 +120,10 @@
 func (s *State) Reply(r *peerapi.SyncRequest, now time.Time) *peerapi.SyncReply {
 	out := &peerapi.SyncReply{
 		ConfigAgeMS: AgeMS(s.LastReads.ConfigAt, now),
-		Revision:    s.LastReads.Revision, Hash: s.hash, LeavesAgeMS: AgeMS(s.LastReads.LeavesAt, now), FleetAgeMS: unknownAgeMS,
+		Revision:    s.LastReads.Revision, LeavesHash: s.hash, LeavesAgeMS: AgeMS(s.LastReads.LeavesAt, now), FleetAgeMS: unknownAgeMS,
 	}
 	s.config.fillReply(r, out)
-	s.fillLeaves(r.Hash, out)
+	s.fillLeaves(r.LeavesHash, out)
 	return out
 }
 
@@ -135,7 +135,7 @@
 	}
 	for _, p := range s.past {
 		if p.hash == peerHash && len(p.changed) < len(s.leaves) {
-			out.Base, out.Leaves, out.Gone = peerHash, p.changed, p.removed
+			out.BaseLeavesHash, out.Leaves, out.RemovedLeaves = peerHash, p.changed, p.removed
 			return
 		}
 	}
--- a/entry/peer/forward.go
+++ b/entry/peer/forward.go
@@ -84,7 +84,7 @@
 	s.mu.Lock()
 	run.next = next
 	s.mu.Unlock()
-	time.AfterFunc(time.Duration(r.LeftUS)*time.Microsecond, func() { s.endRun(id.ID) })
+	time.AfterFunc(time.Duration(r.RemainingUS)*time.Microsecond, func() { s.endRun(id.ID) })
 	return reply, nil
 }
 
--- a/entry/peer/forward_test.go
+++ b/entry/peer/forward_test.go
@@ -166,7 +166,7 @@
 		},
 	})
 	start := func() *peerapi.ForwardRequest {
-		r := &peerapi.ForwardRequest{LeftUS: ample.Microseconds()}
+		r := &peerapi.ForwardRequest{RemainingUS: ample.Microseconds()}
 		if reply, err := c.Forward(t.Context(), target, r, OfferOptions{Timeout: ample}); err != nil || string(reply.Body) != "first" {
 			t.Fatalf("first reply %+v, %v", reply, err)
 		}
--- a/entry/probe/probe.go
+++ b/entry/probe/probe.go
@@ -136,7 +136,7 @@
 	if err != nil || h.ID != t.ID {
 		return // no answer, or that of another leaf at this address: nothing is recorded
 	}
-	p.config.StatusRecorder.RecordStatus(t.ID, leafclient.LeafStatus{Versions: h.Versions, Draining: h.Draining, StartMillis: h.Born})
+	p.config.StatusRecorder.RecordStatus(t.ID, leafclient.LeafStatus{Versions: h.Versions, Draining: h.Draining, StartMillis: h.StartMillis})
 }
 
 // TargetOf returns the address and connection settings of a leaf of the view.
