--- a/entry/control/config.go
+++ b/entry/control/config.go
@@ -36,7 +36,7 @@
 	MergeQuarantine(list []peerapi.Quarantined)
 }
 
-// Log takes lines for operators; *telemetry.Part is one.
+// Log takes lines for operators; *telemetry.ComponentLog is one.
 type Log interface {
 	Info(msg string, pairs ...any)
 	Warn(msg string, pairs ...any)
--- a/entry/executor/admit.go
+++ b/entry/executor/admit.go
@@ -41,9 +41,9 @@
 	if decision.Admitted {
 		return nil
 	}
-	e.config.Log.Decide(telemetry.Decision{
-		Part: partQuery, What: "refuse", Query: r.stamp, Request: r.request.name(), Why: "too few parts would finish in time",
-		More: []any{"service", r.request.Service.Config.Name, "fit", decision.ServableShare, "yields", decision.YieldedToUrgent, "left", left, "retry_after", decision.RetryAfter},
+	e.config.Log.LogDecision(telemetry.Decision{
+		Component: partQuery, Event: "refuse", Query: r.stamp, Request: r.request.name(), Reason: "too few parts would finish in time",
+		Extra: []any{"service", r.request.Service.Config.Name, "fit", decision.ServableShare, "yields", decision.YieldedToUrgent, "left", left, "retry_after", decision.RetryAfter},
 	})
 	return refuse(RefusedOverloaded, decision.RetryAfter, "too few parts would finish in time")
 }
--- a/entry/executor/bench_test.go
+++ b/entry/executor/bench_test.go
@@ -27,7 +27,7 @@
 	for _, decisions := range []bool{false, true} {
 		for _, shards := range []int{1, 20, 100, 600} {
 			b.Run(fmt.Sprintf("decisions=%v/shards=%d", decisions, shards), func(b *testing.B) {
-				log, err := telemetry.NewLog(io.Discard, telemetry.Options{Level: "info", Decisions: decisions})
+				log, err := telemetry.NewLog(io.Discard, telemetry.Options{Level: "info", LogDecisions: decisions})
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/entry/executor/exchange.go
+++ b/entry/executor/exchange.go
@@ -23,7 +23,7 @@
 func (e *Executor) exchange(p *pool, s start) {
 	a := s.attempt
 	defer a.cancel()
-	e.decide(a, telemetry.Decision{Part: partDispatch, What: "dispatch", Leaf: s.leaf.ID, Why: s.action.Reason, Took: s.action.QueueTime, Class: telemetry.Routine})
+	e.decide(a, telemetry.Decision{Component: partDispatch, Event: "dispatch", Leaf: s.leaf.ID, Reason: s.action.Reason, Duration: s.action.QueueTime, Class: telemetry.Routine})
 	a.run.sawWait(s.action.QueueTime)
 	leaf := a.leafIndex(s.leaf.ID)
 	// The deadline is looked at again right before the bytes go: an instance
@@ -40,14 +40,14 @@
 	request := &leafclient.Request{ID: a.run.id, Attempt: a.token, Version: a.offer.Version, Range: a.offer.Part.Range, Body: a.run.request.Body, Forwarded: a.run.request.Passed}
 	reply, err := e.config.Leaves.Run(s.ctx, target, request, func() bool { return a.run.maySend(a, leaf) })
 	if err != nil {
-		a.run.service.metrics.Attempt(attemptOutcome(s.ctx, err), s.action.QueueTime)
+		a.run.service.metrics.CountAttempt(attemptOutcome(s.ctx, err), s.action.QueueTime)
 		e.failed(s.ctx, p, a, exchanged{leaf: leaf, up: up, err: err})
 		return
 	}
 	a.run.sawRun()
 	a.run.sawReply(a, time.Since(a.started))
 	e.Learn(s.leaf.ID, reply.LeafStatus)
-	a.run.service.metrics.Attempt(telemetry.AttemptReply, s.action.QueueTime)
+	a.run.service.metrics.CountAttempt(telemetry.AttemptReply, s.action.QueueTime)
 	p.finish(a, dispatch.OutcomeReply, reply.Service)
 	a.run.mail.put(query.Reply{Attempt: a.offer.Attempt, Leaf: leaf, Version: reply.Version, Ranges: reply.Ranges, Body: reply.Body, Versions: reply.Versions, Attachment: reply.Attachment})
 }
@@ -89,7 +89,7 @@
 	if ctx.Err() != nil {
 		class = telemetry.Routine // it was withdrawn: another attempt answered, or the query is over
 	}
-	e.decide(a, telemetry.Decision{Part: partDispatch, What: "attempt failed", Leaf: a.leafID, Why: why(err), Took: time.Since(a.started), Class: class})
+	e.decide(a, telemetry.Decision{Component: partDispatch, Event: "attempt failed", Leaf: a.leafID, Reason: why(err), Duration: time.Since(a.started), Class: class})
 	switch {
 	case errors.As(err, &dial):
 		outcome := dispatch.OutcomeDialFailed
@@ -165,11 +165,11 @@
 
 // decide logs a decision about an attempt.
 func (e *Executor) decide(a *attempt, d telemetry.Decision) {
-	if !e.config.Log.DecisionsOn() {
+	if !e.config.Log.DecisionsEnabled() {
 		return
 	}
 	d.Query = a.ticket.Query
 	d.Request = a.run.request.name()
 	d.Shard = a.shardName()
-	e.config.Log.Decide(d)
+	e.config.Log.LogDecision(d)
 }
--- a/entry/executor/execute.go
+++ b/entry/executor/execute.go
@@ -84,7 +84,7 @@
 	if err != nil {
 		end = endingOf(err)
 	}
-	meter.Observe(end.outcome, end.reason, time.Since(req.Start))
+	meter.ObserveQuery(end.outcome, end.reason, time.Since(req.Start))
 	return err
 }
 
@@ -182,12 +182,12 @@
 // account counts what the query cost.
 func (r *run) account(a *query.Answer) {
 	m := r.service.metrics
-	m.Sent.Inc(int64(a.Sent))
-	m.Covered.Inc(int64(len(a.Results)))
+	m.SubrequestsSent.Inc(int64(a.Sent))
+	m.ShardsCovered.Inc(int64(len(a.Results)))
 	m.Hedges.Inc(int64(a.Hedges))
 	m.Retries.Inc(int64(a.Retries))
-	m.Ignored.Inc(int64(a.Ignored))
-	m.Moves.Inc(int64(a.VersionMoves))
+	m.RepliesIgnored.Inc(int64(a.Ignored))
+	m.VersionMoves.Inc(int64(a.VersionMoves))
 	r.logAnswer(a)
 }
 
--- a/entry/executor/executor_test.go
+++ b/entry/executor/executor_test.go
@@ -124,7 +124,7 @@
 // services "ask" (idempotent) and "note" (not idempotent).
 func newBench(t *testing.T, shards int) *bench {
 	t.Helper()
-	log, err := telemetry.NewLog(io.Discard, telemetry.Options{Level: "info", Decisions: true})
+	log, err := telemetry.NewLog(io.Discard, telemetry.Options{Level: "info", LogDecisions: true})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/entry/executor/gather.go
+++ b/entry/executor/gather.go
@@ -111,7 +111,7 @@
 		r.gathered(o.Attempt, reply)
 	})
 	if outcome := groupOutcome(ctx, err, replies); outcome != "" {
-		r.service.metrics.Group(outcome)
+		r.service.metrics.CountGroup(outcome)
 	}
 	if err == nil {
 		return
@@ -170,7 +170,7 @@
 	if ctx.Err() != nil {
 		class = telemetry.Routine // nobody waits for it
 	}
-	r.executor.config.Log.Decide(telemetry.Decision{
-		Part: partQuery, What: "group failed", Query: r.stamp, Request: r.request.name(), Why: err.Error(), Took: time.Since(r.request.Start), Class: class,
+	r.executor.config.Log.LogDecision(telemetry.Decision{
+		Component: partQuery, Event: "group failed", Query: r.stamp, Request: r.request.name(), Reason: err.Error(), Duration: time.Since(r.request.Start), Class: class,
 	})
 }
--- a/entry/executor/pool.go
+++ b/entry/executor/pool.go
@@ -233,7 +233,7 @@
 
 // tell logs the refusal and passes it to the query.
 func (r refusedAttempt) tell(p *pool) {
-	p.executor.decide(r.attempt, telemetry.Decision{Part: partDispatch, What: "refuse", Why: string(r.action.Reason)})
+	p.executor.decide(r.attempt, telemetry.Decision{Component: partDispatch, Event: "refuse", Reason: string(r.action.Reason)})
 	r.attempt.run.mail.put(query.NotSent{Attempt: r.attempt.offer.Attempt, Reason: r.action.Reason, RetryAfter: r.action.RetryAfter})
 }
 
--- a/entry/executor/run.go
+++ b/entry/executor/run.go
@@ -191,10 +191,10 @@
 	}
 	r.attempts[o.Attempt] = a
 	if o.Hedge {
-		r.executor.decide(a, telemetry.Decision{Part: partQuery, What: "hedge", Class: telemetry.Routine})
+		r.executor.decide(a, telemetry.Decision{Component: partQuery, Event: "hedge", Class: telemetry.Routine})
 	}
 	if o.Retry {
-		r.executor.decide(a, telemetry.Decision{Part: partQuery, What: "retry", Class: telemetry.Outcome})
+		r.executor.decide(a, telemetry.Decision{Component: partQuery, Event: "retry", Class: telemetry.Outcome})
 	}
 	if !o.Hedge && !o.Retry {
 		r.direct.Add(1)
@@ -235,7 +235,7 @@
 	e := r.executor
 	actions := e.quarantine.observe(quarantine.AttemptEnded{Fingerprint: r.fingerprint, Leaf: a.leafName(v.Leaf), Crashed: v.Crashed, Solo: a.offer.Solo}, time.Now())
 	if v.Crashed {
-		e.decide(a, telemetry.Decision{Part: partQuery, What: "suspect", Leaf: a.leafName(v.Leaf), Why: r.fingerprint})
+		e.decide(a, telemetry.Decision{Component: partQuery, Event: "suspect", Leaf: a.leafName(v.Leaf), Reason: r.fingerprint})
 	}
 	e.carryOut(actions)
 }
--- a/entry/executor/story.go
+++ b/entry/executor/story.go
@@ -43,7 +43,7 @@
 
 // sawReply notes how long an attempt took that brought a reply.
 func (r *run) sawReply(a *attempt, took time.Duration) {
-	if !r.executor.config.Log.DecisionsOn() {
+	if !r.executor.config.Log.DecisionsEnabled() {
 		return
 	}
 	for {
@@ -58,7 +58,7 @@
 // cost, what is missing and why, and how old the beliefs were that it acted on.
 func (r *run) logAnswer(a *query.Answer) {
 	log := r.executor.config.Log
-	if !log.DecisionsOn() {
+	if !log.DecisionsEnabled() {
 		return
 	}
 	took := time.Since(r.request.Start)
@@ -90,9 +90,9 @@
 	if len(a.Missing) > 0 {
 		more = append(more, "missing", r.missingParts(a))
 	}
-	log.Decide(telemetry.Decision{
-		Part: partQuery, What: "answer", Query: r.stamp, Request: r.request.name(), Why: string(a.Outcome),
-		Took: took, More: more, Class: class,
+	log.LogDecision(telemetry.Decision{
+		Component: partQuery, Event: "answer", Query: r.stamp, Request: r.request.name(), Reason: string(a.Outcome),
+		Duration: took, Extra: more, Class: class,
 	})
 }
 
--- a/entry/executor/suspicion.go
+++ b/entry/executor/suspicion.go
@@ -31,7 +31,7 @@
 		return false
 	}
 	r.suspect.Store(true)
-	e.decide(a, telemetry.Decision{Part: partQuery, What: "suspect", Leaf: a.leafID, Why: r.fingerprint, More: []any{"lost", enough}})
+	e.decide(a, telemetry.Decision{Component: partQuery, Event: "suspect", Leaf: a.leafID, Reason: r.fingerprint, Extra: []any{"lost", enough}})
 	e.carryOut(actions)
 	return true
 }
--- a/entry/gateway/answer.go
+++ b/entry/gateway/answer.go
@@ -57,13 +57,13 @@
 
 // logRefusal logs and counts a request that was not forwarded.
 func (g *Gateway) logRefusal(r *http.Request, f *refusal, start time.Time) {
-	g.config.Metrics.Refused(f.detail)
+	g.config.Metrics.CountRefusal(f.detail)
 	more := []any{"status", f.status, "host", r.Host, "path", firstSegment(toOriginForm(r.RequestURI)), "retry_after", f.retryAfter}
 	if v := g.config.Views.View(); v != nil {
 		more = append(more, "config", v.Generation, "current", g.config.Views.Current())
 	}
-	g.config.Log.Decide(telemetry.Decision{
-		Part: logPrefix, What: "refuse", Request: r.Header.Get(g.config.Headers.RequestID), Why: f.detail, Took: time.Since(start), More: more,
+	g.config.Log.LogDecision(telemetry.Decision{
+		Component: logPrefix, Event: "refuse", Request: r.Header.Get(g.config.Headers.RequestID), Reason: f.detail, Duration: time.Since(start), Extra: more,
 	})
 }
 
--- a/entry/hosted/badentries.go
+++ b/entry/hosted/badentries.go
@@ -10,14 +10,14 @@
 // badEntries reports entries of the store that can't be used: once for each change of
 // such an entry, and not with each reading. It is used by one goroutine at a time.
 type badEntries struct {
-	log   *telemetry.Part
+	log   *telemetry.ComponentLog
 	scope tally.Scope
 	// reported are the entries of the last reading, by name.
 	reported map[string]catalog.BadEntry
 }
 
 // newBadEntries reports entries of a kind.
-func newBadEntries(log *telemetry.Part, scope tally.Scope, kind string) *badEntries {
+func newBadEntries(log *telemetry.ComponentLog, scope tally.Scope, kind string) *badEntries {
 	return &badEntries{log: log, scope: scope.SubScope("hosted").Tagged(map[string]string{"kind": kind})}
 }
 
--- a/entry/hosted/control.go
+++ b/entry/hosted/control.go
@@ -32,7 +32,7 @@
 // control owns the catalog. One goroutine does all of its work.
 type control struct {
 	node     *Node
-	log      *telemetry.Part
+	log      *telemetry.ComponentLog
 	catalog  *catalog.Catalog
 	inbox    chan any
 	sequence uint64
@@ -114,10 +114,10 @@
 // newControl makes control; it reads nothing yet.
 func newControl(n *Node) *control {
 	return &control{
-		node: n, log: n.log.Part("control"), peers: n.peers, catalog: catalog.New(n.config.Tunables.Catalog),
+		node: n, log: n.log.Component("control"), peers: n.peers, catalog: catalog.New(n.config.Tunables.Catalog),
 		inbox: make(chan any, inboxLength), wake: make(chan struct{}, 1),
 		meters:    stateMeter{scope: n.metrics.Scope.SubScope("hosted")},
-		badLeaves: newBadEntries(n.log.Part("control"), n.metrics.Scope, "leaves"),
+		badLeaves: newBadEntries(n.log.Component("control"), n.metrics.Scope, "leaves"),
 	}
 }
 
--- a/entry/hosted/forwarding/connect.go
+++ b/entry/hosted/forwarding/connect.go
@@ -53,7 +53,7 @@
 		cancel()
 		if err != nil && ctx.Err() == nil {
 			reachedAll = false
-			f.config.Log.Part(relayLogPrefix).Info("could not connect to a partner instance", "to", to.Name, "err", err)
+			f.config.Log.Component(relayLogPrefix).Info("could not connect to a partner instance", "to", to.Name, "err", err)
 		}
 	}
 	return reachedAll
--- a/entry/hosted/forwarding/gather.go
+++ b/entry/hosted/forwarding/gather.go
@@ -171,21 +171,21 @@
 // logGather logs the first reply to a group, or the error for which there is none.
 func (f *Forwarder) logGather(ctx context.Context, r *executor.Request, g executor.Group, to fleet.Instance, reply *peerapi.ForwardReply, err error, elapsed time.Duration) {
 	d := telemetry.Decision{
-		Part: gatherLogPrefix, What: "gathered", Request: r.Passed.ID, Took: elapsed, Class: telemetry.Routine,
-		More: []any{"by", to.Name, "to_zone", g.Zone, "ranges", len(g.Ranges), "config", r.View.Generation, "forward_delay", f.gatherDelays.upperBound()},
+		Component: gatherLogPrefix, Event: "gathered", Request: r.Passed.ID, Duration: elapsed, Class: telemetry.Routine,
+		Extra: []any{"by", to.Name, "to_zone", g.Zone, "ranges", len(g.Ranges), "config", r.View.Generation, "forward_delay", f.gatherDelays.upperBound()},
 	}
 	switch {
 	case err != nil && errors.Is(ctx.Err(), context.Canceled):
-		d.What, d.Why = "group not needed any more", err.Error()
+		d.Event, d.Reason = "group not needed any more", err.Error()
 	case err != nil && mayHaveRun(err):
-		d.What, d.Why, d.Class = "group lost", err.Error(), telemetry.Failure
+		d.Event, d.Reason, d.Class = "group lost", err.Error(), telemetry.Failure
 	case err != nil:
-		d.What, d.Why, d.Class = "group not taken", err.Error(), telemetry.Outcome
+		d.Event, d.Reason, d.Class = "group not taken", err.Error(), telemetry.Outcome
 	case reply.Gathered != nil:
-		d.Why = reply.Gathered.Refused
-		d.More = append(d.More, "parts", len(reply.Gathered.Signatures), "ran", time.Duration(reply.RunUS)*time.Microsecond)
+		d.Reason = reply.Gathered.Refused
+		d.Extra = append(d.Extra, "parts", len(reply.Gathered.Signatures), "ran", time.Duration(reply.RunUS)*time.Microsecond)
 	}
-	f.config.Log.Decide(d)
+	f.config.Log.LogDecision(d)
 }
 
 // gatherDeclineReason returns why this instance declines to gather a group, or "" if it
--- a/entry/hosted/forwarding/relay.go
+++ b/entry/hosted/forwarding/relay.go
@@ -131,14 +131,14 @@
 // logRelay logs the outcome of forwarding a request to one instance.
 func (f *Forwarder) logRelay(ctx context.Context, r *executor.Request, to fleet.Instance, err error, elapsed time.Duration) {
 	d := telemetry.Decision{
-		Part: relayLogPrefix, What: "handed over", Request: r.Passed.ID, Took: elapsed,
-		More: []any{"to", to.Name, "config", r.View.Generation, "way", r.Way, "forward_delay", f.forwardDelays.upperBound()}, Class: telemetry.Outcome,
+		Component: relayLogPrefix, Event: "handed over", Request: r.Passed.ID, Duration: elapsed,
+		Extra: []any{"to", to.Name, "config", r.View.Generation, "way", r.Way, "forward_delay", f.forwardDelays.upperBound()}, Class: telemetry.Outcome,
 	}
 	if err != nil {
-		d.Why = err.Error()
-		d.What, d.Class = classifyForwardError(ctx, err)
+		d.Reason = err.Error()
+		d.Event, d.Class = classifyForwardError(ctx, err)
 	}
-	f.config.Log.Decide(d)
+	f.config.Log.LogDecision(d)
 }
 
 // classifyForwardError returns the log text and class for an error of forwarding a request.
--- a/entry/hosted/hosted.go
+++ b/entry/hosted/hosted.go
@@ -192,7 +192,7 @@
 }
 
 // Log returns the logger of a part.
-func (n *Node) Log(part string) *telemetry.Part { return n.log.Part(part) }
+func (n *Node) Log(part string) *telemetry.ComponentLog { return n.log.Component(part) }
 
 // Retune puts changed settings in force.
 func (n *Node) Retune(t Tunables) {
@@ -239,7 +239,7 @@
 		cancel()
 		return nil
 	})
-	n.log.Part("node").Info("serving", "instance", n.config.Instance, "zone", n.config.Zone, "clients", n.config.Listen)
+	n.log.Component("node").Info("serving", "instance", n.config.Instance, "zone", n.config.Zone, "clients", n.config.Listen)
 	err = g.Wait()
 	if errors.Is(err, context.Canceled) {
 		return nil
@@ -252,7 +252,7 @@
 	n.leaves.Close()
 	n.peers.Close()
 	if err := n.metrics.Close(); err != nil {
-		n.log.Part("node").Error("metrics were not closed", "err", err)
+		n.log.Component("node").Error("metrics were not closed", "err", err)
 	}
 	n.log.Close()
 }
--- a/entry/hosted/members.go
+++ b/entry/hosted/members.go
@@ -52,7 +52,7 @@
 // members guards the kernel's fleet by a lock and keeps it up to date.
 type members struct {
 	node  *Node
-	log   *telemetry.Part
+	log   *telemetry.ComponentLog
 	self  fleet.Instance
 	begun time.Time
 	// bad reports the announcements that can't be used.
@@ -74,8 +74,8 @@
 	span := n.config.Tunables.Catalog.RepeatLimit.Window
 	self := fleet.Instance{Name: n.config.Instance, Zone: n.config.Zone, PeerAddress: n.config.Peer, CPUs: n.config.Power, AnnouncementID: rand.Uint64()}
 	m := &members{
-		node: n, log: n.log.Part("fleet"), self: self, begun: time.Now(), known: make(chan struct{}),
-		bad: newBadEntries(n.log.Part("fleet"), n.metrics.Scope, "instances"),
+		node: n, log: n.log.Component("fleet"), self: self, begun: time.Now(), known: make(chan struct{}),
+		bad: newBadEntries(n.log.Component("fleet"), n.metrics.Scope, "instances"),
 		fleet: fleet.New(self, fleet.Settings{
 			ForgetAfter: forgetAfter, PeerBackoff: peerBackoff, MaxPeerBackoff: maxPeerBackoff, StalePeerBackoff: stalePeerBackoff, ListPropagationBound: listPropagationBound,
 			RepeatWindow: span, ShareHoldTime: max(span, listPropagationBound),
--- a/entry/hosted/ready.go
+++ b/entry/hosted/ready.go
@@ -23,7 +23,7 @@
 func (n *Node) serveMetrics(ctx context.Context) error {
 	l, err := net.Listen("tcp", n.config.Metrics)
 	if err != nil {
-		n.log.Part("node").Warn("metrics have no address of their own", "err", err)
+		n.log.Component("node").Warn("metrics have no address of their own", "err", err)
 		return nil
 	}
 	e := echo.New()
--- a/entry/hosted/serve.go
+++ b/entry/hosted/serve.go
@@ -35,7 +35,7 @@
 		if err == nil || ctx.Err() != nil || !errors.Is(err, syscall.EADDRINUSE) || time.Since(begin) >= listenFor {
 			return l, err
 		}
-		n.log.Part("node").Warn("address is in use", "address", address, "for", time.Since(begin))
+		n.log.Component("node").Warn("address is in use", "address", address, "for", time.Since(begin))
 	}
 }
 
--- a/entry/hosted/stop.go
+++ b/entry/hosted/stop.go
@@ -24,7 +24,7 @@
 // until the end: a client may always be about to use one, and its request is
 // answered, late ones with a true "not run".
 func (n *Node) drain(ctx context.Context) {
-	log := n.log.Part("node")
+	log := n.log.Component("node")
 	begin := time.Now()
 	grace := n.tunables.Load().Grace
 	n.lifecycle.Set(lifecycle.Leaving)
--- a/entry/node/assemble.go
+++ b/entry/node/assemble.go
@@ -18,7 +18,7 @@
 func (n *Node) newControl() error {
 	s := n.settings
 	var err error
-	if n.peerTLS, err = peersTLS(s.TLS, n.log.Part("tls")); err != nil {
+	if n.peerTLS, err = peersTLS(s.TLS, n.log.Component("tls")); err != nil {
 		return err
 	}
 	placement, err := plugin.Placements.Get(s.Policy.Placement)
@@ -29,7 +29,7 @@
 	n.control = control.New(control.Config{
 		Instance: s.Instance, Zone: s.Zone, Store: n.store, Peers: n.peers, Known: s.Peer.Known,
 		Placement: placement(plugin.PlacementConfig{Headroom: placementHeadroom}), Quarantine: fleetQuarantine{n}, Publish: n.publish,
-		Log: n.log.Part("control"), Seed: uint64(time.Now().UnixNano()),
+		Log: n.log.Component("control"), Seed: uint64(time.Now().UnixNano()),
 	})
 	n.peerServe = peer.NewServer(peer.ServerConfig{Instance: s.Instance, Key: s.Peer.Key, Handler: n.control})
 	return nil
@@ -54,7 +54,7 @@
 // address unless they have one of their own.
 func (n *Node) newServers() error {
 	s := n.settings
-	callers, err := callersTLS(s.TLS, n.log.Part("tls"))
+	callers, err := callersTLS(s.TLS, n.log.Component("tls"))
 	if err != nil {
 		return err
 	}
@@ -71,7 +71,7 @@
 	}
 	operators.New(operators.Config{Control: n.control, Quarantine: n.executor, Views: n, FirstToken: s.Platform.Token}).Register(router)
 	pages, err := console.New(console.Config{
-		Control: n.control, Views: n, Quarantine: n.executor, Log: n.log.Part("console"), FleetKey: s.Peer.Key, Secure: callers != nil,
+		Control: n.control, Views: n, Quarantine: n.executor, Log: n.log.Component("console"), FleetKey: s.Peer.Key, Secure: callers != nil,
 	})
 	if err != nil {
 		return fmt.Errorf("console: %w", err)
--- a/entry/node/drain.go
+++ b/entry/node/drain.go
@@ -27,7 +27,7 @@
 
 // drain stops the instance without cutting a request off.
 func (n *Node) drain(ctx context.Context) {
-	log := n.log.Part("node")
+	log := n.log.Component("node")
 	n.lifecycle.Set(lifecycle.Leaving)
 	n.control.SetDraining()
 	log.Info("leaving: still serving until the balancer has let go")
--- a/entry/node/node.go
+++ b/entry/node/node.go
@@ -61,7 +61,7 @@
 
 // New assembles a node. It does no I/O but opening the log.
 func New(s *settings.Settings, logSink io.Writer) (*Node, error) {
-	log, err := telemetry.NewLog(logSink, telemetry.Options{Level: s.Log.Level, Format: s.Log.Format, Decisions: true})
+	log, err := telemetry.NewLog(logSink, telemetry.Options{Level: s.Log.Level, Format: s.Log.Format, LogDecisions: true})
 	if err != nil {
 		return nil, err
 	}
@@ -137,7 +137,7 @@
 		cancel()
 		return nil
 	})
-	n.log.Part("node").Info("serving", "instance", n.settings.Instance, "zone", n.settings.Zone, "callers", l.callers.Addr().String())
+	n.log.Component("node").Info("serving", "instance", n.settings.Instance, "zone", n.settings.Zone, "callers", l.callers.Addr().String())
 	err = g.Wait()
 	if errors.Is(err, context.Canceled) {
 		return nil
@@ -151,7 +151,7 @@
 	n.peers.Close()
 	n.store.Close()
 	if err := n.metrics.Close(); err != nil {
-		n.log.Part("node").Error("metrics were not closed", "err", err)
+		n.log.Component("node").Error("metrics were not closed", "err", err)
 	}
 	n.log.Close()
 }
--- a/entry/node/tls.go
+++ b/entry/node/tls.go
@@ -30,7 +30,7 @@
 	checked time.Time
 }
 
-// certificateLog takes the lines on renewals; *telemetry.Part is one.
+// certificateLog takes the lines on renewals; *telemetry.ComponentLog is one.
 type certificateLog interface {
 	Info(msg string, pairs ...any)
 	Error(msg string, pairs ...any)
--- a/entry/telemetry/budget_test.go
+++ b/entry/telemetry/budget_test.go
@@ -13,18 +13,18 @@
 func TestRoutineNeverKeepsFailuresOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var sink bytes.Buffer
-		l, err := NewLog(&sink, Options{Level: "info", Format: "logfmt", Decisions: true, Budgets: Budgets{Failure: 50, Outcome: 20, Routine: 10}})
+		l, err := NewLog(&sink, Options{Level: "info", Format: "logfmt", LogDecisions: true, DecisionBudgets: Budgets{Failure: 50, Outcome: 20, Routine: 10}})
 		if err != nil {
 			t.Fatal(err)
 		}
 		for i := range 40 {
 			for range 30 {
-				l.Decide(Decision{Part: "dispatch", What: "dispatch", Class: Routine})
+				l.LogDecision(Decision{Component: "dispatch", Event: "dispatch", Class: Routine})
 			}
-			l.Decide(Decision{Part: "query", What: "refuse", Request: "id", Query: uint64(i), Class: Failure})
+			l.LogDecision(Decision{Component: "query", Event: "refuse", Request: "id", Query: uint64(i), Class: Failure})
 		}
 		time.Sleep(time.Second)
-		l.Decide(Decision{Part: "query", What: "answer", Class: Outcome})
+		l.LogDecision(Decision{Component: "query", Event: "answer", Class: Outcome})
 		l.Close()
 		text := sink.String()
 		for what, want := range map[string]int{"msg=dispatch": 10, "msg=refuse": 40, "msg=answer": 1, "request=id": 40} {
--- a/entry/telemetry/log.go
+++ b/entry/telemetry/log.go
@@ -27,17 +27,17 @@
 
 // Decision is one routing or placement decision. It names no caller, body or key.
 type Decision struct {
-	Part  string // the log prefix: "dispatch", "query", "placement"
-	What  string // "dispatch", "refuse", "hedge", "move", ...
-	Query uint64 // admission stamp
-	Shard string // upstream and range
-	Leaf  string
-	Why   string
-	Took  time.Duration // a wait or a latency; 0 for none
+	Component string // the log prefix: "dispatch", "query", "placement"
+	Event     string // "dispatch", "refuse", "hedge", "move", ...
+	Query     uint64 // admission stamp
+	Shard     string // upstream and range
+	Leaf      string
+	Reason    string
+	Duration  time.Duration // a wait or a latency; 0 for none
 	// Request is the caller's own name of the request, "" if it gave none.
 	Request string
-	// More are further keys and values.
-	More []any
+	// Extra are further keys and values.
+	Extra []any
 	// Class says which budget the line is taken from.
 	Class Class
 }
@@ -63,10 +63,10 @@
 	Level string // debug, info, warn, error
 	// Format is "text", "logfmt" or "json".
 	Format string
-	// Decisions turns the lines of routing and placement decisions on.
-	Decisions bool
-	// Budgets bound the lines of decisions.
-	Budgets Budgets
+	// LogDecisions turns the lines of routing and placement decisions on.
+	LogDecisions bool
+	// DecisionBudgets bound the lines of decisions.
+	DecisionBudgets Budgets
 }
 
 // formatters are the library's, by the names of Options.Format; text is the
@@ -106,8 +106,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("log level %q: %w", o.Level, err)
 	}
-	l := &Log{queue: make(chan *record, queueLength), done: make(chan struct{}), decisions: o.Decisions, level: level, formatter: formatters[o.Format]}
-	for i, perSecond := range o.Budgets {
+	l := &Log{queue: make(chan *record, queueLength), done: make(chan struct{}), decisions: o.LogDecisions, level: level, formatter: formatters[o.Format]}
+	for i, perSecond := range o.DecisionBudgets {
 		l.limits[i] = rate.NewLimiter(rate.Inf, 0)
 		if perSecond > 0 {
 			l.limits[i] = rate.NewLimiter(rate.Limit(perSecond), perSecond)
@@ -155,11 +155,11 @@
 			_, _ = w.sink.Write(r.raw) // a log that can't be written has nowhere to say so
 			continue
 		}
-		if r.decision.What == "" {
+		if r.decision.Event == "" {
 			w.part(r.part).Log(r.level, r.msg, oneLine(r.pairs)...)
 			continue
 		}
-		w.part(r.decision.Part).Log(r.level, r.decision.What, r.decision.pairs()...)
+		w.part(r.decision.Component).Log(r.level, r.decision.Event, r.decision.pairs()...)
 	}
 }
 
@@ -205,13 +205,13 @@
 	if d.Leaf != "" {
 		out = append(out, "leaf", d.Leaf)
 	}
-	if d.Why != "" {
-		out = append(out, "why", d.Why)
+	if d.Reason != "" {
+		out = append(out, "why", d.Reason)
 	}
-	if d.Took != 0 {
-		out = append(out, "took", d.Took)
+	if d.Duration != 0 {
+		out = append(out, "took", d.Duration)
 	}
-	return append(out, d.More...)
+	return append(out, d.Extra...)
 }
 
 // put queues a record or drops it.
@@ -228,9 +228,9 @@
 	}
 }
 
-// Decide logs one decision, if decisions are on.
-func (l *Log) Decide(d Decision) {
-	if !l.DecisionsOn() {
+// LogDecision logs one decision, if decisions are on.
+func (l *Log) LogDecision(d Decision) {
+	if !l.DecisionsEnabled() {
 		return
 	}
 	now := time.Now()
@@ -258,8 +258,8 @@
 	}})
 }
 
-// DecisionsOn reports whether decisions are logged, to save building them.
-func (l *Log) DecisionsOn() bool { return l.decisions && l.level <= log.InfoLevel }
+// DecisionsEnabled reports whether decisions are logged, to save building them.
+func (l *Log) DecisionsEnabled() bool { return l.decisions && l.level <= log.InfoLevel }
 
 // Dropped is the number of records that found the queue full.
 func (l *Log) Dropped() int64 { return l.drops.Load() }
@@ -290,28 +290,28 @@
 	return len(line), nil
 }
 
-// Part returns the logger of one part, whose name prefixes its lines.
-func (l *Log) Part(name string) *Part { return &Part{log: l, name: name} }
+// Component returns the logger of one part, whose name prefixes its lines.
+func (l *Log) Component(name string) *ComponentLog { return &ComponentLog{log: l, name: name} }
 
-// Part logs under a fixed prefix.
-type Part struct {
+// ComponentLog logs under a fixed prefix.
+type ComponentLog struct {
 	log  *Log
 	name string
 }
 
 // Debug logs a line of interest to developers. Pairs are keys and values.
-func (p *Part) Debug(msg string, pairs ...any) { p.put(log.DebugLevel, msg, pairs) }
+func (p *ComponentLog) Debug(msg string, pairs ...any) { p.put(log.DebugLevel, msg, pairs) }
 
 // Info logs an ordinary event.
-func (p *Part) Info(msg string, pairs ...any) { p.put(log.InfoLevel, msg, pairs) }
+func (p *ComponentLog) Info(msg string, pairs ...any) { p.put(log.InfoLevel, msg, pairs) }
 
 // Warn logs something that operators may want to look at.
-func (p *Part) Warn(msg string, pairs ...any) { p.put(log.WarnLevel, msg, pairs) }
+func (p *ComponentLog) Warn(msg string, pairs ...any) { p.put(log.WarnLevel, msg, pairs) }
 
 // Error logs something that operators must look at.
-func (p *Part) Error(msg string, pairs ...any) { p.put(log.ErrorLevel, msg, pairs) }
+func (p *ComponentLog) Error(msg string, pairs ...any) { p.put(log.ErrorLevel, msg, pairs) }
 
-func (p *Part) put(level log.Level, msg string, pairs []any) {
+func (p *ComponentLog) put(level log.Level, msg string, pairs []any) {
 	if level < p.log.level {
 		return
 	}
--- a/entry/telemetry/log_test.go
+++ b/entry/telemetry/log_test.go
@@ -40,13 +40,13 @@
 func TestTrafficNeverWaitsOnTheSink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sink := &gatedSink{gate: make(chan struct{})}
-		l, err := NewLog(sink, Options{Level: "info", Decisions: true})
+		l, err := NewLog(sink, Options{Level: "info", LogDecisions: true})
 		if err != nil {
 			t.Fatal(err)
 		}
 		const extra = 100
 		for i := range queueLength + extra {
-			l.Decide(Decision{Part: "dispatch", What: "dispatch", Query: uint64(i)})
+			l.LogDecision(Decision{Component: "dispatch", Event: "dispatch", Query: uint64(i)})
 		}
 		// One record may be in the writer's hands.
 		if d := l.Dropped(); d < extra-1 || d > extra {
@@ -57,7 +57,7 @@
 		if n := int64(strings.Count(sink.String(), "\n")); n != queueLength+extra-l.Dropped() {
 			t.Errorf("%d lines written", n)
 		}
-		l.Decide(Decision{Part: "dispatch", What: "late"}) // must not panic
+		l.LogDecision(Decision{Component: "dispatch", Event: "late"}) // must not panic
 	})
 }
 
@@ -65,14 +65,14 @@
 func TestLines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var buf bytes.Buffer
-		l, err := NewLog(&buf, Options{Level: "info", Decisions: true})
+		l, err := NewLog(&buf, Options{Level: "info", LogDecisions: true})
 		if err != nil {
 			t.Fatal(err)
 		}
-		l.Part("node").Debug("unseen")
-		l.Part("node").Info("serving", "instance", "a")
+		l.Component("node").Debug("unseen")
+		l.Component("node").Info("serving", "instance", "a")
 		l.Logger("ledger").Warn("slow", "bucket", 3)
-		l.Decide(Decision{Part: "query", What: "answer", Query: 7, Why: "complete", Took: time.Millisecond})
+		l.LogDecision(Decision{Component: "query", Event: "answer", Query: 7, Reason: "complete", Duration: time.Millisecond})
 		l.Close()
 		want := "2000-01-01T00:00:00.000000Z INFO node: serving instance=a\n" +
 			"2000-01-01T00:00:00.000000Z WARN ledger: slow bucket=3\n" +
@@ -92,14 +92,14 @@
 
 // BenchmarkDecide measures what one decision line costs its traffic goroutine.
 func BenchmarkDecide(b *testing.B) {
-	l, err := NewLog(io.Discard, Options{Level: "info", Decisions: true})
+	l, err := NewLog(io.Discard, Options{Level: "info", LogDecisions: true})
 	if err != nil {
 		b.Fatal(err)
 	}
 	defer l.Close()
 	b.ReportAllocs()
 	for b.Loop() {
-		l.Decide(Decision{Part: "dispatch", What: "dispatch", Query: 1, Shard: "titles 0-1", Leaf: "titles-0-0", Why: "cheaper of two"})
+		l.LogDecision(Decision{Component: "dispatch", Event: "dispatch", Query: 1, Shard: "titles 0-1", Leaf: "titles-0-0", Reason: "cheaper of two"})
 	}
 	b.ReportMetric(float64(l.Dropped())/float64(b.N), "drops/op")
 }
@@ -109,8 +109,8 @@
 func BenchmarkDecideWritten(b *testing.B) {
 	const batch = queueLength / 2
 	line := Decision{
-		Part: "dispatch", What: "dispatch", Query: 1, Request: "9c41d07be2a35f68", Shard: "titles-7", Leaf: "i-7f3a91c2",
-		Why: "least delay, own zone", Class: Routine,
+		Component: "dispatch", Event: "dispatch", Query: 1, Request: "9c41d07be2a35f68", Shard: "titles-7", Leaf: "i-7f3a91c2",
+		Reason: "least delay, own zone", Class: Routine,
 	}
 	for _, bc := range []struct {
 		name    string
@@ -119,12 +119,12 @@
 		b.Run(bc.name, func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				l, err := NewLog(io.Discard, Options{Level: "info", Format: "json", Decisions: true, Budgets: bc.budgets})
+				l, err := NewLog(io.Discard, Options{Level: "info", Format: "json", LogDecisions: true, DecisionBudgets: bc.budgets})
 				if err != nil {
 					b.Fatal(err)
 				}
 				for range batch {
-					l.Decide(line)
+					l.LogDecision(line)
 				}
 				l.Close()
 				if l.Dropped() > 0 {
@@ -147,17 +147,17 @@
 		{"warn", "WARN node: w|"},
 	} {
 		var sink bytes.Buffer
-		l, err := NewLog(&sink, Options{Level: tc.level, Decisions: true})
+		l, err := NewLog(&sink, Options{Level: tc.level, LogDecisions: true})
 		if err != nil {
 			t.Fatal(err)
 		}
-		p := l.Part("node")
+		p := l.Component("node")
 		p.Debug("d")
 		p.Info("i")
 		p.Warn("w")
-		l.Decide(Decision{Part: "query", What: "answer", Query: 7})
-		if l.DecisionsOn() != strings.Contains(tc.want, "answer") {
-			t.Errorf("level %s: decisions on is %v", tc.level, l.DecisionsOn())
+		l.LogDecision(Decision{Component: "query", Event: "answer", Query: 7})
+		if l.DecisionsEnabled() != strings.Contains(tc.want, "answer") {
+			t.Errorf("level %s: decisions on is %v", tc.level, l.DecisionsEnabled())
 		}
 		l.Close()
 		var got strings.Builder
@@ -178,7 +178,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.Part("control").Error("refused", "err", errors.New("invalid document: a\n  b\r\n  c\n"), "reason", "x\n2000-01-01 INFO node: forged", "generation", 3)
+	l.Component("control").Error("refused", "err", errors.New("invalid document: a\n  b\r\n  c\n"), "reason", "x\n2000-01-01 INFO node: forged", "generation", 3)
 	l.Close()
 	_, got, _ := strings.Cut(sink.String(), " ")
 	want := `ERRO control: refused err="invalid document: a; b; c" reason="x; 2000-01-01 INFO node: forged" generation=3` + "\n"
--- a/entry/telemetry/metrics.go
+++ b/entry/telemetry/metrics.go
@@ -63,14 +63,14 @@
 
 // ServiceMetrics are one query service's instruments.
 type ServiceMetrics struct {
-	scope   tally.Scope
-	latency tally.Histogram
-	Sent    tally.Counter // sub-requests that reached a leaf
-	Covered tally.Counter // shards covered by answers
-	Hedges  tally.Counter
-	Retries tally.Counter
-	Ignored tally.Counter // replies that were late, repeated or crossed
-	Moves   tally.Counter // changes of the pinned version
+	scope           tally.Scope
+	latency         tally.Histogram
+	SubrequestsSent tally.Counter // sub-requests that reached a leaf
+	ShardsCovered   tally.Counter // shards covered by answers
+	Hedges          tally.Counter
+	Retries         tally.Counter
+	RepliesIgnored  tally.Counter // replies that were late, repeated or crossed
+	VersionMoves    tally.Counter // changes of the pinned version
 	// RepeatsRefused counts repeats for which the shard's limit had no room.
 	RepeatsRefused tally.Counter
 	queue          tally.Histogram
@@ -89,8 +89,8 @@
 	GroupLost     GroupOutcome = "lost"      // the other instance, after it had taken it
 )
 
-// Group counts one group.
-func (s *ServiceMetrics) Group(outcome GroupOutcome) { s.groups[outcome].Inc(1) }
+// CountGroup counts one group.
+func (s *ServiceMetrics) CountGroup(outcome GroupOutcome) { s.groups[outcome].Inc(1) }
 
 // AttemptOutcome is how an attempt at a leaf ended.
 type AttemptOutcome uint8
@@ -109,8 +109,8 @@
 // attemptNames are the outcomes' labels.
 var attemptNames = [attemptOutcomes]string{"reply", "declined", "no_connection", "broken", "deadline", "cancelled"}
 
-// Attempt counts one attempt at a leaf.
-func (s *ServiceMetrics) Attempt(outcome AttemptOutcome, queued time.Duration) {
+// CountAttempt counts one attempt at a leaf.
+func (s *ServiceMetrics) CountAttempt(outcome AttemptOutcome, queued time.Duration) {
 	s.attempts[outcome].Inc(1)
 	s.queue.RecordDuration(queued)
 }
@@ -119,16 +119,16 @@
 func (m *Metrics) Service(name string) *ServiceMetrics {
 	s := m.Scope.Tagged(map[string]string{"service": name})
 	out := &ServiceMetrics{
-		scope:   s,
-		latency: s.Histogram("query_seconds", latencyBuckets),
-		Sent:    s.Counter("subrequests_sent"),
-		Covered: s.Counter("shards_covered"),
-		Hedges:  s.Counter("hedges"),
-		Retries: s.Counter("retries"),
-		Ignored: s.Counter("replies_ignored"),
-		Moves:   s.Counter("version_moves"),
-		queue:   s.Histogram("queue_seconds", latencyBuckets),
-		groups:  make(map[GroupOutcome]tally.Counter),
+		scope:           s,
+		latency:         s.Histogram("query_seconds", latencyBuckets),
+		SubrequestsSent: s.Counter("subrequests_sent"),
+		ShardsCovered:   s.Counter("shards_covered"),
+		Hedges:          s.Counter("hedges"),
+		Retries:         s.Counter("retries"),
+		RepliesIgnored:  s.Counter("replies_ignored"),
+		VersionMoves:    s.Counter("version_moves"),
+		queue:           s.Histogram("queue_seconds", latencyBuckets),
+		groups:          make(map[GroupOutcome]tally.Counter),
 
 		RepeatsRefused: s.Counter("repeats_refused"),
 	}
@@ -141,15 +141,15 @@
 	return out
 }
 
-// Refused counts a request that an instance refused before it found a service for it.
+// CountRefusal counts a request that an instance refused before it found a service for it.
 // The reasons are few and fixed.
-func (m *Metrics) Refused(reason string) {
+func (m *Metrics) CountRefusal(reason string) {
 	m.Scope.Tagged(map[string]string{"reason": reason}).Counter("refusals").Inc(1)
 }
 
-// Observe counts one answered query, with the reason for which it is not complete;
+// ObserveQuery counts one answered query, with the reason for which it is not complete;
 // empty where it is. The reasons are the kernel's, few and fixed.
-func (s *ServiceMetrics) Observe(outcome, reason string, took time.Duration) {
+func (s *ServiceMetrics) ObserveQuery(outcome, reason string, took time.Duration) {
 	s.scope.Tagged(map[string]string{"outcome": outcome}).Counter("queries").Inc(1)
 	if reason != "" {
 		s.scope.Tagged(map[string]string{"reason": reason}).Counter("incomplete").Inc(1)
--- a/entry/telemetry/metrics_test.go
+++ b/entry/telemetry/metrics_test.go
@@ -25,7 +25,7 @@
 	m := NewMetrics()
 	for i, name := range []string{"title-search", "title.search", "title_search"} {
 		for range i + 1 {
-			m.Service(name).Observe("complete", "", time.Millisecond)
+			m.Service(name).ObserveQuery("complete", "", time.Millisecond)
 		}
 	}
 	text := shown(t, m)
