--- a/entry/telemetry/budget_test.go
+++ b/entry/telemetry/budget_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// TestRoutineNeverKeepsFailuresOut logs far over the budget of routine lines:
-// failures are all there, and what was left out is told.
-func TestRoutineNeverKeepsFailuresOut(t *testing.T) {
+// TestRoutineLinesDontSuppressFailures logs far more routine lines than their budget
+// allows: all failures are written, and the suppressed lines are counted in a report.
+func TestRoutineLinesDontSuppressFailures(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var sink bytes.Buffer
 		l, err := NewLog(&sink, Options{Level: "info", Format: "logfmt", LogDecisions: true, DecisionBudgets: Budgets{Failure: 50, Outcome: 20, Routine: 10}})
@@ -26,14 +26,14 @@
 		time.Sleep(time.Second)
 		l.LogDecision(Decision{Component: "query", Event: "answer", Class: Outcome})
 		l.Close()
-		text := sink.String()
-		for what, want := range map[string]int{"msg=dispatch": 10, "msg=refuse": 40, "msg=answer": 1, "request=id": 40} {
-			if n := strings.Count(text, what); n != want {
-				t.Errorf("%s: %d lines, want %d", what, n, want)
+		output := sink.String()
+		for text, want := range map[string]int{"msg=dispatch": 10, "msg=refuse": 40, "msg=answer": 1, "request=id": 40} {
+			if n := strings.Count(output, text); n != want {
+				t.Errorf("%s: %d lines, want %d", text, n, want)
 			}
 		}
-		if !strings.Contains(text, `msg="lines left out" failures=0 outcomes=0 routine=1190`) {
-			t.Errorf("what was left out is not told:\n%s", text[max(0, len(text)-500):])
+		if !strings.Contains(output, `msg="lines left out" failures=0 outcomes=0 routine=1190`) {
+			t.Errorf("no report of the suppressed lines:\n%s", output[max(0, len(output)-500):])
 		}
 	})
 }
--- a/entry/telemetry/log.go
+++ b/entry/telemetry/log.go
@@ -19,157 +19,163 @@
 	"golang.org/x/time/rate"
 )
 
-// timeFormat is RFC 3339 with microseconds.
-const timeFormat = "2006-01-02T15:04:05.000000Z07:00"
+// timestampFormat is RFC 3339 with microseconds.
+const timestampFormat = "2006-01-02T15:04:05.000000Z07:00"
 
-// queueLength bounds the records that wait for the sink.
+// queueLength is the maximum number of records that wait to be written.
 const queueLength = 8192
 
-// Decision is one routing or placement decision. It names no caller, body or key.
+// Decision is a log record of one routing or placement decision. It contains no
+// caller names, request bodies or keys.
 type Decision struct {
 	Component string // the log prefix: "dispatch", "query", "placement"
 	Event     string // "dispatch", "refuse", "hedge", "move", ...
-	Query     uint64 // admission stamp
+	Query     uint64 // the query's number, assigned at admission
 	Shard     string // upstream and range
 	Leaf      string
 	Reason    string
-	Duration  time.Duration // a wait or a latency; 0 for none
-	// Request is the caller's own name of the request, "" if it gave none.
+	Duration  time.Duration // a waiting time or a latency; 0 if there is none
+	// Request is the caller's request ID; empty if it sent none.
 	Request string
-	// Extra are further keys and values.
+	// Extra holds further alternating keys and values.
 	Extra []any
-	// Class says which budget the line is taken from.
+	// Class selects the rate budget that the line counts against.
 	Class Class
 }
 
-// Class ranks lines by what they are worth when not all can be written.
+// Class is a kind of decision line with a rate budget of its own.
 type Class uint8
 
-// The classes. Each has a budget of its own, so that routine never keeps out
-// what explains a failure.
+// The classes, the most important first. The budgets are separate so that
+// routine lines can't crowd out the lines that explain a failure.
 const (
-	Failure Class = iota // refusals, failures, partial answers, changes of belief
-	Outcome              // answers that are complete and in time
-	Routine              // what happens to each part of each query
-	classes
+	Failure Class = iota // refusals, failures, partial answers, changes of a leaf's assumed state
+	Outcome              // complete answers within the deadline
+	Routine              // each step of each sub-request
+	classCount
 )
 
-// Budgets are the most lines a second of each class, in the order of the
-// classes; 0 sets no bound.
-type Budgets [classes]int
+// Budgets holds the maximum number of decision lines per second, indexed by
+// Class; 0 means unlimited.
+type Budgets [classCount]int
 
-// Options say how logs are written.
+// Options configures a Log.
 type Options struct {
 	Level string // debug, info, warn, error
 	// Format is "text", "logfmt" or "json".
 	Format string
-	// LogDecisions turns the lines of routing and placement decisions on.
+	// LogDecisions enables the lines for routing and placement decisions.
 	LogDecisions bool
-	// DecisionBudgets bound the lines of decisions.
+	// DecisionBudgets limits the rate of decision lines.
 	DecisionBudgets Budgets
 }
 
-// formatters are the library's, by the names of Options.Format; text is the
-// default.
+// formatters maps Options.Format to the formatters of the log library. An unknown
+// format gives text, the zero value.
 var formatters = map[string]log.Formatter{"text": log.TextFormatter, "logfmt": log.LogfmtFormatter, "json": log.JSONFormatter}
 
-// Log is the queued logger. Close it to flush.
+// Log is an asynchronous logger. Close flushes it.
 type Log struct {
-	queue      chan *record
-	done       chan struct{}
-	drops      atomic.Int64
-	limits     [classes]*rate.Limiter
-	leftOut    [classes]atomic.Int64 // since the last line that reported them
-	reportedAt atomic.Int64          // second in which that was
-	decisions  bool
-	level      log.Level
-	formatter  log.Formatter
-	closeOnce  sync.Once
-	mu         sync.RWMutex
-	closed     bool
+	queue        chan *record
+	done         chan struct{}
+	drops        atomic.Int64
+	limits       [classCount]*rate.Limiter
+	overBudget   [classCount]atomic.Int64 // lines over budget since the last report
+	lastReport   atomic.Int64             // time of the last report, in Unix seconds
+	logDecisions bool
+	level        log.Level
+	formatter    log.Formatter
+	closeOnce    sync.Once
+	mu           sync.RWMutex
+	closed       bool
 }
 
-// record is a line before it is formatted.
+// record is a queued line: a decision if its Event is set, otherwise a message, or
+// a formatted line in raw.
 type record struct {
-	at       time.Time
-	level    log.Level
-	part     string
-	msg      string
-	pairs    []any
-	decision Decision
-	raw      []byte // a line that is formatted already
+	at        time.Time
+	level     log.Level
+	component string
+	msg       string
+	pairs     []any
+	decision  Decision
+	raw       []byte // a formatted line; nil if the other fields hold the record
 }
 
-// NewLog starts the writing goroutine on the sink.
+// NewLog returns a Log and starts the goroutine that writes to sink. It returns an
+// error if the level is unknown.
 func NewLog(sink io.Writer, o Options) (*Log, error) {
 	level, err := log.ParseLevel(o.Level)
 	if err != nil {
 		return nil, fmt.Errorf("log level %q: %w", o.Level, err)
 	}
-	l := &Log{queue: make(chan *record, queueLength), done: make(chan struct{}), decisions: o.LogDecisions, level: level, formatter: formatters[o.Format]}
+	l := &Log{queue: make(chan *record, queueLength), done: make(chan struct{}), logDecisions: o.LogDecisions, level: level, formatter: formatters[o.Format]}
 	for i, perSecond := range o.DecisionBudgets {
 		l.limits[i] = rate.NewLimiter(rate.Inf, 0)
 		if perSecond > 0 {
 			l.limits[i] = rate.NewLimiter(rate.Limit(perSecond), perSecond)
 		}
 	}
-	go l.write(newWriter(sink, o, level))
+	go l.writeRecords(newRecordWriter(sink, o, level))
 	return l, nil
 }
 
-// writer formats records with one logger per part.
-type writer struct {
-	sink  io.Writer
-	base  *log.Logger
-	parts map[string]*log.Logger
-	now   time.Time
+// recordWriter formats records and writes them to the sink, with one logger per
+// component.
+type recordWriter struct {
+	sink       io.Writer
+	base       *log.Logger
+	components map[string]*log.Logger
+	recordTime time.Time
 }
 
-// newWriter makes the library's logger; its clock is the record's own time.
-func newWriter(sink io.Writer, o Options, level log.Level) *writer {
-	w := &writer{sink: sink, parts: make(map[string]*log.Logger)}
+// newRecordWriter returns a recordWriter whose timestamps are those of the records,
+// not of the time of writing.
+func newRecordWriter(sink io.Writer, o Options, level log.Level) *recordWriter {
+	w := &recordWriter{sink: sink, components: make(map[string]*log.Logger)}
 	w.base = log.NewWithOptions(sink, log.Options{
 		Level: level, Formatter: formatters[o.Format], ReportTimestamp: true,
-		TimeFormat:   timeFormat,
-		TimeFunction: func(time.Time) time.Time { return w.now },
+		TimeFormat:   timestampFormat,
+		TimeFunction: func(time.Time) time.Time { return w.recordTime },
 	})
 	return w
 }
 
-// part returns the logger with the part's prefix.
-func (w *writer) part(name string) *log.Logger {
-	p, ok := w.parts[name]
+// component returns the logger that prefixes lines with the component's name.
+func (w *recordWriter) component(name string) *log.Logger {
+	p, ok := w.components[name]
 	if !ok {
 		p = w.base.WithPrefix(name)
-		w.parts[name] = p
+		w.components[name] = p
 	}
 	return p
 }
 
-// write is the writing goroutine.
-func (l *Log) write(w *writer) {
+// writeRecords writes queued records until the queue is closed.
+func (l *Log) writeRecords(w *recordWriter) {
 	defer close(l.done)
 	for r := range l.queue {
-		w.now = r.at
+		w.recordTime = r.at
 		if r.raw != nil {
-			_, _ = w.sink.Write(r.raw) // a log that can't be written has nowhere to say so
+			_, _ = w.sink.Write(r.raw) // there is nowhere to report a failed log write
 			continue
 		}
 		if r.decision.Event == "" {
-			w.part(r.part).Log(r.level, r.msg, oneLine(r.pairs)...)
+			w.component(r.component).Log(r.level, r.msg, joinLines(r.pairs)...)
 			continue
 		}
-		w.part(r.decision.Component).Log(r.level, r.decision.Event, r.decision.pairs()...)
+		w.component(r.decision.Component).Log(r.level, r.decision.Event, r.decision.pairs()...)
 	}
 }
 
-// lineBreaks joins the lines of a value, such as a list of faults. A record is
-// one line, whatever an error or another program's answer holds.
+// lineBreaks matches line breaks and the white space around them. A record has to
+// stay on one line even if a value, such as a list of errors or the reply of another
+// program, spans several.
 var lineBreaks = regexp.MustCompile(`\s*[\r\n]+\s*`)
 
-// oneLine takes the line breaks out of keys and values. The slice is the
-// caller's and stays as it is.
-func oneLine(pairs []any) []any {
+// joinLines replaces line breaks in keys and values by "; ". It doesn't modify the
+// slice, which belongs to the caller.
+func joinLines(pairs []any) []any {
 	out := pairs
 	for i, p := range pairs {
 		var text string
@@ -192,7 +198,8 @@
 	return out
 }
 
-// pairs lists the fields that are set.
+// pairs returns the fields that are set, and always the query, as alternating keys
+// and values.
 func (d *Decision) pairs() []any {
 	out := make([]any, 0, 10)
 	if d.Request != "" {
@@ -214,8 +221,9 @@
 	return append(out, d.Extra...)
 }
 
-// put queues a record or drops it.
-func (l *Log) put(r record) {
+// enqueue queues a record. It drops the record, and counts it, if the queue is full.
+// After Close it does nothing.
+func (l *Log) enqueue(r record) {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
 	if l.closed {
@@ -228,43 +236,46 @@
 	}
 }
 
-// LogDecision logs one decision, if decisions are on.
+// LogDecision logs a decision if decision logging is enabled and the budget
+// of its class allows it.
 func (l *Log) LogDecision(d Decision) {
 	if !l.DecisionsEnabled() {
 		return
 	}
 	now := time.Now()
-	l.tellLeftOut(now)
+	l.reportOverBudget(now)
 	if !l.limits[d.Class].AllowN(now, 1) {
-		l.leftOut[d.Class].Add(1)
+		l.overBudget[d.Class].Add(1)
 		return
 	}
-	l.put(record{at: now, level: log.InfoLevel, decision: d})
+	l.enqueue(record{at: now, level: log.InfoLevel, decision: d})
 }
 
-// tellLeftOut logs, at most once a second, how many lines were over the budgets.
-func (l *Log) tellLeftOut(now time.Time) {
+// reportOverBudget logs, at most once a second, how many lines were suppressed by
+// the budgets since the last report.
+func (l *Log) reportOverBudget(now time.Time) {
 	second := now.Unix()
-	last := l.reportedAt.Load()
-	if second == last || !l.reportedAt.CompareAndSwap(last, second) {
+	last := l.lastReport.Load()
+	if second == last || !l.lastReport.CompareAndSwap(last, second) {
 		return
 	}
-	failures, outcomes, routine := l.leftOut[Failure].Swap(0), l.leftOut[Outcome].Swap(0), l.leftOut[Routine].Swap(0)
+	failures, outcomes, routine := l.overBudget[Failure].Swap(0), l.overBudget[Outcome].Swap(0), l.overBudget[Routine].Swap(0)
 	if failures+outcomes+routine == 0 {
 		return
 	}
-	l.put(record{at: now, level: log.WarnLevel, part: "log", msg: "lines left out", pairs: []any{
+	l.enqueue(record{at: now, level: log.WarnLevel, component: "log", msg: "lines left out", pairs: []any{
 		"failures", failures, "outcomes", outcomes, "routine", routine, "dropped", l.Dropped(),
 	}})
 }
 
-// DecisionsEnabled reports whether decisions are logged, to save building them.
-func (l *Log) DecisionsEnabled() bool { return l.decisions && l.level <= log.InfoLevel }
+// DecisionsEnabled reports whether decisions are logged, so that callers can skip
+// building them.
+func (l *Log) DecisionsEnabled() bool { return l.logDecisions && l.level <= log.InfoLevel }
 
-// Dropped is the number of records that found the queue full.
+// Dropped returns the number of records dropped because the queue was full.
 func (l *Log) Dropped() int64 { return l.drops.Load() }
 
-// Close writes what is queued and ends the goroutine.
+// Close writes the queued records and stops the writing goroutine.
 func (l *Log) Close() {
 	l.closeOnce.Do(func() {
 		l.mu.Lock()
@@ -275,45 +286,46 @@
 	<-l.done
 }
 
-// Logger returns a logger of the library for a part that wants one. Its lines
-// are formatted by the caller's goroutine and queued like all others.
-func (l *Log) Logger(part string) *log.Logger {
-	return log.NewWithOptions(lineQueue{l}, log.Options{Prefix: part, Level: l.level, Formatter: l.formatter, ReportTimestamp: true, TimeFormat: timeFormat})
+// Logger returns a logger of the log library for a component that needs that type.
+// Its lines are formatted in the calling goroutine and queued like all others.
+func (l *Log) Logger(component string) *log.Logger {
+	return log.NewWithOptions(lineEnqueuer{l}, log.Options{Prefix: component, Level: l.level, Formatter: l.formatter, ReportTimestamp: true, TimeFormat: timestampFormat})
 }
 
-// lineQueue queues formatted lines.
-type lineQueue struct{ log *Log }
+// lineEnqueuer is an io.Writer that queues formatted lines.
+type lineEnqueuer struct{ log *Log }
 
 // Write implements io.Writer.
-func (q lineQueue) Write(line []byte) (int, error) {
-	q.log.put(record{raw: bytes.Clone(line)})
+func (q lineEnqueuer) Write(line []byte) (int, error) {
+	q.log.enqueue(record{raw: bytes.Clone(line)})
 	return len(line), nil
 }
 
-// Component returns the logger of one part, whose name prefixes its lines.
+// Component returns a logger that prefixes its lines with the component's name.
 func (l *Log) Component(name string) *ComponentLog { return &ComponentLog{log: l, name: name} }
 
-// ComponentLog logs under a fixed prefix.
+// ComponentLog logs messages with a fixed prefix.
 type ComponentLog struct {
 	log  *Log
 	name string
 }
 
-// Debug logs a line of interest to developers. Pairs are keys and values.
-func (p *ComponentLog) Debug(msg string, pairs ...any) { p.put(log.DebugLevel, msg, pairs) }
+// Debug logs a message for developers. Pairs are alternating keys and values.
+func (c *ComponentLog) Debug(msg string, pairs ...any) { c.enqueue(log.DebugLevel, msg, pairs) }
 
-// Info logs an ordinary event.
-func (p *ComponentLog) Info(msg string, pairs ...any) { p.put(log.InfoLevel, msg, pairs) }
+// Info logs an expected event.
+func (c *ComponentLog) Info(msg string, pairs ...any) { c.enqueue(log.InfoLevel, msg, pairs) }
 
-// Warn logs something that operators may want to look at.
-func (p *ComponentLog) Warn(msg string, pairs ...any) { p.put(log.WarnLevel, msg, pairs) }
+// Warn logs an event that operators may want to look at.
+func (c *ComponentLog) Warn(msg string, pairs ...any) { c.enqueue(log.WarnLevel, msg, pairs) }
 
-// Error logs something that operators must look at.
-func (p *ComponentLog) Error(msg string, pairs ...any) { p.put(log.ErrorLevel, msg, pairs) }
+// Error logs an event that operators must look at.
+func (c *ComponentLog) Error(msg string, pairs ...any) { c.enqueue(log.ErrorLevel, msg, pairs) }
 
-func (p *ComponentLog) put(level log.Level, msg string, pairs []any) {
-	if level < p.log.level {
+// enqueue queues a message if its level is enabled.
+func (c *ComponentLog) enqueue(level log.Level, msg string, pairs []any) {
+	if level < c.log.level {
 		return
 	}
-	p.log.put(record{at: time.Now(), level: level, part: p.name, msg: msg, pairs: pairs})
+	c.log.enqueue(record{at: time.Now(), level: level, component: c.name, msg: msg, pairs: pairs})
 }
--- a/entry/telemetry/log_test.go
+++ b/entry/telemetry/log_test.go
@@ -15,7 +15,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// gatedSink takes nothing until the gate opens.
+// gatedSink blocks writes until the gate channel is closed.
 type gatedSink struct {
 	gate chan struct{}
 	mu   sync.Mutex
@@ -35,9 +35,9 @@
 	return s.buf.String()
 }
 
-// TestTrafficNeverWaitsOnTheSink logs more than the queue holds to a sink that
-// stands still: no virtual time passes, and the rest is counted as dropped.
-func TestTrafficNeverWaitsOnTheSink(t *testing.T) {
+// TestBlockedSinkDoesNotBlockLogging logs more than the queue holds to a blocked
+// sink: no call blocks, and the records beyond the queue are counted as dropped.
+func TestBlockedSinkDoesNotBlockLogging(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sink := &gatedSink{gate: make(chan struct{})}
 		l, err := NewLog(sink, Options{Level: "info", LogDecisions: true})
@@ -48,7 +48,7 @@
 		for i := range queueLength + extra {
 			l.LogDecision(Decision{Component: "dispatch", Event: "dispatch", Query: uint64(i)})
 		}
-		// One record may be in the writer's hands.
+		// The writing goroutine may have taken one record from the queue.
 		if d := l.Dropped(); d < extra-1 || d > extra {
 			t.Errorf("%d dropped, want %d", d, extra)
 		}
@@ -61,8 +61,8 @@
 	})
 }
 
-// TestLines checks prefix, fields, level and the record's own time.
-func TestLines(t *testing.T) {
+// TestLineFormat checks the prefix, fields, level and timestamp of written lines.
+func TestLineFormat(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var buf bytes.Buffer
 		l, err := NewLog(&buf, Options{Level: "info", LogDecisions: true})
@@ -83,14 +83,14 @@
 	})
 }
 
-// TestUnknownLevel names the wrong setting.
-func TestUnknownLevel(t *testing.T) {
+// TestUnknownLevelIsRejected checks that the error names the unknown level.
+func TestUnknownLevelIsRejected(t *testing.T) {
 	if _, err := NewLog(io.Discard, Options{Level: "loud"}); err == nil || !strings.Contains(err.Error(), "loud") {
 		t.Errorf("error %v", err)
 	}
 }
 
-// BenchmarkDecide measures what one decision line costs its traffic goroutine.
+// BenchmarkDecide measures what one decision line costs the goroutine that logs it.
 func BenchmarkDecide(b *testing.B) {
 	l, err := NewLog(io.Discard, Options{Level: "info", LogDecisions: true})
 	if err != nil {
@@ -105,7 +105,7 @@
 }
 
 // BenchmarkDecideWritten measures what one line costs the process until it is written
-// as JSON, and what one costs that its budget leaves out.
+// as JSON, and what a line costs that is over its budget.
 func BenchmarkDecideWritten(b *testing.B) {
 	const batch = queueLength / 2
 	line := Decision{
@@ -136,8 +136,9 @@
 	}
 }
 
-// TestLevelBoundsLines checks that neither parts nor decisions write below the level.
-func TestLevelBoundsLines(t *testing.T) {
+// TestLinesBelowLevelAreDropped checks that neither messages nor decisions below the
+// log level are written.
+func TestLinesBelowLevelAreDropped(t *testing.T) {
 	for _, tc := range []struct {
 		level string
 		want  string
@@ -171,8 +172,9 @@
 	}
 }
 
-// TestRecordIsOneLine logs values with line breaks, as an error or a string.
-func TestRecordIsOneLine(t *testing.T) {
+// TestRecordStaysOnOneLine logs an error and a string with line breaks. Without
+// joining, the text after a break could pass for another record.
+func TestRecordStaysOnOneLine(t *testing.T) {
 	var sink bytes.Buffer
 	l, err := NewLog(&sink, Options{Level: "info"})
 	if err != nil {
--- a/entry/telemetry/metrics.go
+++ b/entry/telemetry/metrics.go
@@ -11,16 +11,17 @@
 	tallyprom "github.com/uber-go/tally/v4/prometheus"
 )
 
-// reportInterval is how often tally hands counters to the reporter.
+// reportInterval is the interval at which tally passes values to the Prometheus
+// reporter.
 const reportInterval = time.Second
 
 // latencyBuckets are the upper bounds of latency histograms.
 var latencyBuckets = tally.MustMakeExponentialDurationBuckets(500*time.Microsecond, 1.5, 20)
 
-// sanitize is Prometheus' own rule for names and keys. Values keep hyphens and
-// dots, which names of services have: without them two services could share an
-// instrument.
-var sanitize = tally.SanitizeOptions{
+// sanitizeOptions applies the Prometheus rules to metric names and label keys. Label
+// values keep hyphens and dots: service names contain them, and without them two
+// services could share an instrument.
+var sanitizeOptions = tally.SanitizeOptions{
 	NameCharacters: tallyprom.DefaultSanitizerOpts.NameCharacters,
 	KeyCharacters:  tallyprom.DefaultSanitizerOpts.KeyCharacters,
 	ValueCharacters: tally.ValidCharacters{
@@ -30,27 +31,28 @@
 	ReplacementCharacter: tally.DefaultReplacementCharacter,
 }
 
-// Metrics holds the entry's instruments. No instrument has a caller's name in
-// it: callers may be rivals.
+// Metrics holds the entry's instruments. No metric name or label contains a caller's
+// name, because callers may be competitors.
 type Metrics struct {
 	Scope   tally.Scope
 	handler http.Handler
 	closer  io.Closer
 }
 
-// NewMetrics makes a root scope whose values are served in Prometheus text form.
+// NewMetrics creates the root scope, which Handler serves in the Prometheus text
+// format.
 func NewMetrics() *Metrics {
 	registry := prom.NewRegistry()
 	reporter := tallyprom.NewReporter(tallyprom.Options{Registerer: registry, Gatherer: registry})
 	scope, closer := tally.NewRootScope(tally.ScopeOptions{
 		Prefix: "fuchsiaroad", CachedReporter: reporter,
-		Separator: tallyprom.DefaultSeparator, SanitizeOptions: &sanitize,
+		Separator: tallyprom.DefaultSeparator, SanitizeOptions: &sanitizeOptions,
 		OmitCardinalityMetrics: true,
 	}, reportInterval)
 	return &Metrics{Scope: scope, handler: reporter.HTTPHandler(), closer: closer}
 }
 
-// Handler serves the metrics.
+// Handler returns the HTTP handler that serves the metrics.
 func (m *Metrics) Handler() http.Handler { return m.handler }
 
 // Close stops the reporting goroutine.
@@ -61,7 +63,7 @@
 	return nil
 }
 
-// ServiceMetrics are one query service's instruments.
+// ServiceMetrics holds the instruments of one query service.
 type ServiceMetrics struct {
 	scope           tally.Scope
 	latency         tally.Histogram
@@ -69,50 +71,51 @@
 	ShardsCovered   tally.Counter // shards covered by answers
 	Hedges          tally.Counter
 	Retries         tally.Counter
-	RepliesIgnored  tally.Counter // replies that were late, repeated or crossed
-	VersionMoves    tally.Counter // changes of the pinned version
-	// RepeatsRefused counts repeats for which the shard's limit had no room.
+	RepliesIgnored  tally.Counter // replies that were late, duplicate, invalid or for another attempt
+	VersionMoves    tally.Counter // changes of a query's pinned version
+	// RepeatsRefused counts hedges and retries refused by the shard's repeat limit.
 	RepeatsRefused tally.Counter
-	queue          tally.Histogram
-	// attempts are by outcome.
-	attempts [attemptOutcomes]tally.Counter
+	queueTime      tally.Histogram
+	// attempts is indexed by AttemptOutcome.
+	attempts [attemptOutcomeCount]tally.Counter
 	groups   map[GroupOutcome]tally.Counter
 }
 
-// GroupOutcome is what became of parts that another instance was asked to gather.
+// GroupOutcome is the outcome of delegating a group of sub-requests to another
+// instance, which gathers their replies.
 type GroupOutcome string
 
-// The outcomes of groups.
+// The outcomes of delegated groups.
 const (
 	GroupGathered GroupOutcome = "gathered"
-	GroupNotTaken GroupOutcome = "not_taken" // nothing ran there; the parts were asked here
-	GroupLost     GroupOutcome = "lost"      // the other instance, after it had taken it
+	GroupNotTaken GroupOutcome = "not_taken" // the other instance ran nothing; this instance sent the sub-requests
+	GroupLost     GroupOutcome = "lost"      // the other instance was lost after it had accepted the group
 )
 
-// CountGroup counts one group.
+// CountGroup counts one delegated group.
 func (s *ServiceMetrics) CountGroup(outcome GroupOutcome) { s.groups[outcome].Inc(1) }
 
-// AttemptOutcome is how an attempt at a leaf ended.
+// AttemptOutcome is the outcome of one attempt to query a leaf.
 type AttemptOutcome uint8
 
-// The outcomes of attempts.
+// The attempt outcomes.
 const (
 	AttemptReply        AttemptOutcome = iota
-	AttemptDeclined                    // the leaf says that it did not run it
-	AttemptNoConnection                // none was made, or the attempt was recalled
-	AttemptBroken                      // lost after it was sent
-	AttemptDeadline                    // no reply in time
-	AttemptCancelled                   // withdrawn: another answered, or the query ended
-	attemptOutcomes
+	AttemptDeclined                    // the leaf replied that it did not run the query
+	AttemptNoConnection                // no connection was made, or the attempt was withdrawn before it was sent
+	AttemptBroken                      // the connection was lost after the query was sent
+	AttemptDeadline                    // no reply before the deadline
+	AttemptCancelled                   // another attempt was answered, or the query ended
+	attemptOutcomeCount
 )
 
-// attemptNames are the outcomes' labels.
-var attemptNames = [attemptOutcomes]string{"reply", "declined", "no_connection", "broken", "deadline", "cancelled"}
+// attemptLabels holds the values of the outcome label, indexed by AttemptOutcome.
+var attemptLabels = [attemptOutcomeCount]string{"reply", "declined", "no_connection", "broken", "deadline", "cancelled"}
 
-// CountAttempt counts one attempt at a leaf.
+// CountAttempt counts one attempt to query a leaf and records how long it was queued.
 func (s *ServiceMetrics) CountAttempt(outcome AttemptOutcome, queued time.Duration) {
 	s.attempts[outcome].Inc(1)
-	s.queue.RecordDuration(queued)
+	s.queueTime.RecordDuration(queued)
 }
 
 // Service returns the instruments of a service.
@@ -127,7 +130,7 @@
 		Retries:         s.Counter("retries"),
 		RepliesIgnored:  s.Counter("replies_ignored"),
 		VersionMoves:    s.Counter("version_moves"),
-		queue:           s.Histogram("queue_seconds", latencyBuckets),
+		queueTime:       s.Histogram("queue_seconds", latencyBuckets),
 		groups:          make(map[GroupOutcome]tally.Counter),
 
 		RepeatsRefused: s.Counter("repeats_refused"),
@@ -135,20 +138,21 @@
 	for _, outcome := range []GroupOutcome{GroupGathered, GroupNotTaken, GroupLost} {
 		out.groups[outcome] = s.Tagged(map[string]string{"outcome": string(outcome)}).Counter("groups")
 	}
-	for i, outcome := range attemptNames {
+	for i, outcome := range attemptLabels {
 		out.attempts[i] = s.Tagged(map[string]string{"outcome": outcome}).Counter("attempts")
 	}
 	return out
 }
 
-// CountRefusal counts a request that an instance refused before it found a service for it.
-// The reasons are few and fixed.
+// CountRefusal counts a request that was refused before its service was known.
+// Reason is a label value, so it has to come from a small fixed set.
 func (m *Metrics) CountRefusal(reason string) {
 	m.Scope.Tagged(map[string]string{"reason": reason}).Counter("refusals").Inc(1)
 }
 
-// ObserveQuery counts one answered query, with the reason for which it is not complete;
-// empty where it is. The reasons are the kernel's, few and fixed.
+// ObserveQuery counts one answered query and records its latency. Reason says why
+// the answer is incomplete and is empty if it is complete; it is a label value, from
+// the kernel's small fixed set.
 func (s *ServiceMetrics) ObserveQuery(outcome, reason string, took time.Duration) {
 	s.scope.Tagged(map[string]string{"outcome": outcome}).Counter("queries").Inc(1)
 	if reason != "" {
--- a/entry/telemetry/metrics_test.go
+++ b/entry/telemetry/metrics_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// shown returns the text of /metrics after what was counted has been reported.
-func shown(t *testing.T, m *Metrics) string {
+// closeAndScrape closes m, which reports all values, and returns the text of /metrics.
+func closeAndScrape(t *testing.T, m *Metrics) string {
 	t.Helper()
-	if err := m.Close(); err != nil { // reports for the last time
+	if err := m.Close(); err != nil {
 		t.Fatal(err)
 	}
 	rec := httptest.NewRecorder()
@@ -19,8 +19,8 @@
 	return rec.Body.String()
 }
 
-// TestServicesDontShareInstruments counts for services whose names differ by
-// one sign only.
+// TestServicesDontShareInstruments counts queries of services whose names differ in
+// one character. Sanitizing the names must not merge their instruments.
 func TestServicesDontShareInstruments(t *testing.T) {
 	m := NewMetrics()
 	for i, name := range []string{"title-search", "title.search", "title_search"} {
@@ -28,7 +28,7 @@
 			m.Service(name).ObserveQuery("complete", "", time.Millisecond)
 		}
 	}
-	text := shown(t, m)
+	text := closeAndScrape(t, m)
 	for _, want := range []string{
 		`fuchsiaroad_queries{outcome="complete",service="title-search"} 1`,
 		`fuchsiaroad_queries{outcome="complete",service="title.search"} 2`,
