--- a/entry/node/status.go
+++ b/entry/node/status.go
@@ -10,30 +10,30 @@
 
 // Status is what /status shows. It names no caller.
 type Status struct {
-	Instance   string       `json:"instance"`
-	Zone       string       `json:"zone"`
-	Version    string       `json:"version"`
-	Phase      string       `json:"phase"`
-	UptimeS    int64        `json:"uptime_s"`
-	Generation uint64       `json:"generation"`
-	Hash       string       `json:"hash,omitempty"`
-	Queries    int64        `json:"queries_in_flight"`
-	LogDrops   int64        `json:"log_drops"`
-	Quarantine int          `json:"quarantine"`
-	Leaves     []LeafStatus `json:"leaves"`
+	Instance          string       `json:"instance"`
+	Zone              string       `json:"zone"`
+	Version           string       `json:"version"`
+	Phase             string       `json:"phase"`
+	UptimeS           int64        `json:"uptime_s"`
+	Generation        uint64       `json:"generation"`
+	Hash              string       `json:"hash,omitempty"`
+	QueriesInFlight   int64        `json:"queries_in_flight"`
+	LogDrops          int64        `json:"log_drops"`
+	QuarantineRecords int          `json:"quarantine"`
+	Leaves            []LeafStatus `json:"leaves"`
 }
 
 // LeafStatus is one leaf as this instance sees it.
 type LeafStatus struct {
 	ID       string `json:"id"`
 	Upstream string `json:"upstream"`
-	Leaving  bool   `json:"leaving"`
+	Draining bool   `json:"leaving"`
 	// Connections counts places of this instance's share of the leaf's limit.
-	Connections int   `json:"connections"`
-	Share       int   `json:"share"`
-	Dials       int64 `json:"dials"`
-	// HeardMS is how long ago the leaf last answered; -1 for never.
-	HeardMS int64 `json:"heard_ms"`
+	Connections     int   `json:"connections"`
+	ConnectionLimit int   `json:"share"`
+	Dials           int64 `json:"dials"`
+	// SinceReplyMS is how long ago the leaf last answered; -1 for never.
+	SinceReplyMS int64 `json:"heard_ms"`
 }
 
 // phaseNames are the phases in words.
@@ -46,8 +46,8 @@
 	s := Status{
 		Instance: n.settings.Instance, Zone: n.settings.Zone, Version: Version,
 		Phase: phaseNames[n.lifecycle.Get()], UptimeS: int64(time.Since(n.started).Seconds()),
-		Queries: n.executor.Running(), LogDrops: n.log.Dropped(), Leaves: []LeafStatus{},
-		Quarantine: len(n.executor.Quarantine()),
+		QueriesInFlight: n.executor.Running(), LogDrops: n.log.Dropped(), Leaves: []LeafStatus{},
+		QuarantineRecords: len(n.executor.Quarantine()),
 	}
 	v := n.View()
 	if v == nil {
@@ -62,8 +62,8 @@
 			sinceReply = time.Since(at).Milliseconds()
 		}
 		s.Leaves = append(s.Leaves, LeafStatus{
-			ID: leaf.ID, Upstream: v.Upstreams[leaf.Upstream].Name, Leaving: leaf.Draining,
-			Connections: stats.Used, Share: stats.Limit, Dials: stats.Dials, HeardMS: sinceReply,
+			ID: leaf.ID, Upstream: v.Upstreams[leaf.Upstream].Name, Draining: leaf.Draining,
+			Connections: stats.Used, ConnectionLimit: stats.Limit, Dials: stats.Dials, SinceReplyMS: sinceReply,
 		})
 	}
 	sort.Slice(s.Leaves, func(i, j int) bool { return s.Leaves[i].ID < s.Leaves[j].ID })
