--- a/entry/node/assemble.go
+++ b/entry/node/assemble.go
@@ -13,12 +13,13 @@
 	"github.com/fuchsiaroad/fuchsiaroad/kernel/plugin"
 )
 
-// newControl makes control and what it speaks to peers with. The executor does
-// not exist yet: control reaches it through the node.
+// newControl creates the control component, and the client and server for messages
+// between peers. The executor does not exist yet, so control gets it through the
+// node.
 func (n *Node) newControl() error {
 	s := n.settings
 	var err error
-	if n.peerTLS, err = peersTLS(s.TLS, n.log.Component("tls")); err != nil {
+	if n.peerTLS, err = peerTLSConfig(s.TLS, n.log.Component("tls")); err != nil {
 		return err
 	}
 	placement, err := plugin.Placements.Get(s.Policy.Placement)
@@ -28,33 +29,33 @@
 	n.peers = peer.NewClient(peer.ClientConfig{Instance: s.Instance, Key: s.Peer.Key, TLS: n.peerTLS})
 	n.control = control.New(control.Config{
 		Instance: s.Instance, Zone: s.Zone, Store: n.store, Peers: n.peers, Known: s.Peer.Known,
-		Placement: placement(plugin.PlacementConfig{Headroom: placementHeadroom}), Quarantine: fleetQuarantine{n}, Publish: n.publish,
+		Placement: placement(plugin.PlacementConfig{Headroom: placementHeadroom}), Quarantine: executorQuarantine{n}, Publish: n.publish,
 		Log: n.log.Component("control"), Seed: uint64(time.Now().UnixNano()),
 	})
-	n.peerServe = peer.NewServer(peer.ServerConfig{Instance: s.Instance, Key: s.Peer.Key, Handler: n.control})
+	n.peerServer = peer.NewServer(peer.ServerConfig{Instance: s.Instance, Key: s.Peer.Key, Handler: n.control})
 	return nil
 }
 
-// placementHeadroom is the number of live entries that any entry's list may
-// miss without a leaf's connection limit being exceeded.
+// placementHeadroom is the number of live entries that may be missing from any
+// entry's list without a leaf's connection limit being exceeded.
 const placementHeadroom = 2
 
-// fleetQuarantine gives control the executor's quarantine.
-type fleetQuarantine struct{ node *Node }
+// executorQuarantine implements control.Quarantine with the executor's quarantine.
+type executorQuarantine struct{ node *Node }
 
 // Quarantine implements control.Quarantine.
-func (q fleetQuarantine) Quarantine() []peerapi.Quarantined { return q.node.executor.Quarantine() }
+func (q executorQuarantine) Quarantine() []peerapi.Quarantined { return q.node.executor.Quarantine() }
 
 // MergeQuarantine implements control.Quarantine.
-func (q fleetQuarantine) MergeQuarantine(list []peerapi.Quarantined) {
+func (q executorQuarantine) MergeQuarantine(list []peerapi.Quarantined) {
 	q.node.executor.MergeQuarantine(list)
 }
 
-// newServers makes the HTTP servers. Operators' routes are on the callers'
-// address unless they have one of their own.
+// newServers creates the HTTP servers. The operators' routes are served on the
+// callers' address unless the settings give operators an address of their own.
 func (n *Node) newServers() error {
 	s := n.settings
-	callers, err := callersTLS(s.TLS, n.log.Component("tls"))
+	callers, err := callerTLSConfig(s.TLS, n.log.Component("tls"))
 	if err != nil {
 		return err
 	}
--- a/entry/node/drain.go
+++ b/entry/node/drain.go
@@ -8,16 +8,17 @@
 	"github.com/fuchsiaroad/fuchsiaroad/entry/server"
 )
 
-// Times of a graceful stop.
+// Time limits of a graceful stop.
 const (
-	// finishTime bounds the wait for requests in flight beyond the longest deadline.
-	finishTime = 2 * time.Second
-	// flushTime bounds the last ledger writes.
-	flushTime = 5 * time.Second
+	// finishMargin is added to the longest deadline to get the maximum wait for
+	// requests in flight.
+	finishMargin = 2 * time.Second
+	// flushTimeout is the maximum time for the last ledger writes.
+	flushTimeout = 5 * time.Second
 )
 
-// awaitStop waits for Stop and carries the graceful stop out.
-func (n *Node) awaitStop(ctx context.Context) {
+// waitAndDrain waits for Stop or the end of the context, then stops gracefully.
+func (n *Node) waitAndDrain(ctx context.Context) {
 	select {
 	case <-n.stop:
 	case <-ctx.Done():
@@ -25,7 +26,9 @@
 	n.drain(context.WithoutCancel(ctx))
 }
 
-// drain stops the instance without cutting a request off.
+// drain stops the instance gracefully: it goes on serving until no new queries
+// arrive, then refuses new queries, waits for those in flight, flushes the ledger and
+// shuts the servers down.
 func (n *Node) drain(ctx context.Context) {
 	log := n.log.Component("node")
 	n.lifecycle.Set(lifecycle.Leaving)
@@ -34,12 +37,12 @@
 	n.lifecycle.WaitQuiet(ctx, n.settings.Limits.DrainTime)
 	n.lifecycle.Set(lifecycle.Refusing)
 	log.Info("finishing what is in flight", "queries", n.executor.Running())
-	finish, cancel := context.WithTimeout(ctx, n.longestDeadline()+finishTime)
+	finish, cancel := context.WithTimeout(ctx, n.longestDeadline()+finishMargin)
 	defer cancel()
 	if err := n.executor.Wait(finish); err != nil {
 		log.Error("requests were still in flight at the end", "queries", n.executor.Running())
 	}
-	flush, cancelFlush := context.WithTimeout(ctx, flushTime)
+	flush, cancelFlush := context.WithTimeout(ctx, flushTimeout)
 	defer cancelFlush()
 	if err := n.ledger.Flush(flush); err != nil {
 		log.Error("outcomes were not all recorded", "err", err)
@@ -55,7 +58,7 @@
 	log.Info("stopped")
 }
 
-// longestDeadline is the longest that a query in flight may take.
+// longestDeadline returns the longest deadline of any service.
 func (n *Node) longestDeadline() time.Duration {
 	var longest time.Duration
 	if v := n.View(); v != nil {
--- a/entry/node/listen.go
+++ b/entry/node/listen.go
@@ -6,13 +6,13 @@
 	"net"
 )
 
-// listeners are the sockets of a node.
+// listeners holds the listening sockets of a node.
 type listeners struct {
 	callers, peers net.Listener
 	operators      net.Listener // nil when operators share the callers' address
 }
 
-// listen opens all sockets, or none.
+// listen opens all sockets; on an error it closes those already open.
 func (n *Node) listen() (l listeners, err error) {
 	defer func() {
 		if err != nil {
@@ -37,7 +37,7 @@
 	return l, nil
 }
 
-// close gives the sockets up that were opened.
+// close closes the sockets that are open.
 func (l listeners) close() {
 	for _, s := range []net.Listener{l.callers, l.peers, l.operators} {
 		if s != nil {
--- a/entry/node/meter.go
+++ b/entry/node/meter.go
@@ -6,7 +6,7 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// ledgerMeter counts claims and writes of the ledger.
+// ledgerMeter records metrics of the ledger's claims and writes.
 type ledgerMeter struct{ scope tally.Scope }
 
 // LedgerClaim implements ledger.Meter.
--- a/entry/node/node.go
+++ b/entry/node/node.go
@@ -1,6 +1,6 @@
-// Package node assembles an entry instance from its parts: telemetry, the
-// platform client, control, ledger, executor, probes and servers. It starts
-// them, and stops them in the order that cuts no request off.
+// Package node assembles an entry instance from its components: telemetry, the
+// platform client, control, ledger, executor, probes and servers. It starts them, and
+// stops them in an order that lets requests in flight finish.
 package node
 
 import (
@@ -32,41 +32,41 @@
 // Version is the program's version.
 const Version = "0.1.0-dev"
 
-// maxReply bounds one leaf's reply, in bytes.
-const maxReply = 4 << 20
+// maxReplyBytes is the maximum size of a leaf's reply.
+const maxReplyBytes = 4 << 20
 
 // Node is one entry instance.
 type Node struct {
-	settings  *settings.Settings
-	log       *telemetry.Log
-	metrics   *telemetry.Metrics
-	store     *platform.Client
-	leaves    *leafclient.Client
-	ledger    *ledger.Ledger
-	executor  *executor.Executor
-	control   *control.Control
-	peers     *peer.Client
-	peerServe *peer.Server
-	peerTLS   *tls.Config
-	prober    *probe.Prober
-	server    *server.Server
-	operators *server.Server // nil when operators share the callers' address
-	lifecycle lifecycle.Lifecycle
-	view      atomic.Pointer[view.View]
-	warmed    atomic.Bool
-	stop      chan struct{}
-	stopOnce  sync.Once
-	started   time.Time
+	settings          *settings.Settings
+	log               *telemetry.Log
+	metrics           *telemetry.Metrics
+	store             *platform.Client
+	leafClient        *leafclient.Client
+	ledger            *ledger.Ledger
+	executor          *executor.Executor
+	control           *control.Control
+	peers             *peer.Client
+	peerServer        *peer.Server
+	peerTLS           *tls.Config
+	prober            *probe.Prober
+	server            *server.Server
+	operators         *server.Server // nil when operators share the callers' address
+	lifecycle         lifecycle.Lifecycle
+	view              atomic.Pointer[view.View]
+	connectionsOpened atomic.Bool
+	stop              chan struct{}
+	stopOnce          sync.Once
+	startTime         time.Time
 }
 
-// New assembles a node. It does no I/O but opening the log.
+// New assembles a node. It opens no sockets; Run opens them.
 func New(s *settings.Settings, logSink io.Writer) (*Node, error) {
 	log, err := telemetry.NewLog(logSink, telemetry.Options{Level: s.Log.Level, Format: s.Log.Format, LogDecisions: true})
 	if err != nil {
 		return nil, err
 	}
-	n := &Node{settings: s, log: log, metrics: telemetry.NewMetrics(), stop: make(chan struct{}), started: time.Now()}
-	n.leaves = leafclient.New(maxReply)
+	n := &Node{settings: s, log: log, metrics: telemetry.NewMetrics(), stop: make(chan struct{}), startTime: time.Now()}
+	n.leafClient = leafclient.New(maxReplyBytes)
 	transport, err := platformTransport(s.Platform)
 	if err != nil {
 		return nil, err
@@ -88,33 +88,33 @@
 		return nil, err
 	}
 	n.executor = executor.New(executor.Config{
-		Leaves: n.leaves, LeafObserver: n.control, Log: n.log, Metrics: n.metrics, Policies: policies(s.Policy),
+		Leaves: n.leafClient, LeafObserver: n.control, Log: n.log, Metrics: n.metrics, Policies: executorPolicies(s.Policy),
 		Zone: s.Zone, Seed: uint64(time.Now().UnixNano()), FleetKey: s.Peer.Key, Ledger: n.ledger,
 		MaxQueries: s.Limits.Queries, MaxQueue: s.Limits.Queue,
 	})
-	n.prober = probe.New(probe.Config{Leaves: n.leaves, Learner: n.executor, View: n.View, Warmed: func() { n.warmed.Store(true) }})
+	n.prober = probe.New(probe.Config{Leaves: n.leafClient, Learner: n.executor, View: n.View, Warmed: func() { n.connectionsOpened.Store(true) }})
 	if err := n.newServers(); err != nil {
 		return nil, err
 	}
 	return n, nil
 }
 
-// View is the view in force; nil before there is a document.
+// View returns the current view; nil before the first configuration document.
 func (n *Node) View() *view.View { return n.view.Load() }
 
-// publish puts a new view in force. The connections' shares are those of the
-// view, and the executor knows it, before any query does.
+// publish makes v the current view. The connection limits are set and the executor
+// is told before queries can use the view.
 func (n *Node) publish(v *view.View) {
-	n.leaves.Apply(probe.Targets(v))
+	n.leafClient.Apply(probe.Targets(v))
 	n.executor.Follow(v)
 	n.view.Store(v)
 	n.lifecycle.Serve()
 }
 
-// Stop starts a graceful stop. It returns at once; Run ends when it is done.
+// Stop starts a graceful stop and returns at once. Run returns when the stop is done.
 func (n *Node) Stop() { n.stopOnce.Do(func() { close(n.stop) }) }
 
-// Run serves until Stop and the graceful end, or until the context ends.
+// Run serves until Stop is called or the context ends, then stops gracefully.
 func (n *Node) Run(ctx context.Context) error {
 	defer n.close()
 	l, err := n.listen()
@@ -128,12 +128,12 @@
 	if n.operators != nil {
 		g.Go(func() error { return n.operators.Serve(l.operators) })
 	}
-	g.Go(func() error { return n.peerServe.Serve(ctx, l.peers) })
+	g.Go(func() error { return n.peerServer.Serve(ctx, l.peers) })
 	g.Go(func() error { return n.control.Run(ctx) })
 	g.Go(func() error { return n.ledger.Run(ctx) })
 	g.Go(func() error { return n.prober.Run(ctx) })
 	g.Go(func() error {
-		n.awaitStop(ctx)
+		n.waitAndDrain(ctx)
 		cancel()
 		return nil
 	})
@@ -145,9 +145,9 @@
 	return err
 }
 
-// close gives up what New opened.
+// close closes what New opened.
 func (n *Node) close() {
-	n.leaves.Close()
+	n.leafClient.Close()
 	n.peers.Close()
 	n.store.Close()
 	if err := n.metrics.Close(); err != nil {
@@ -156,12 +156,13 @@
 	n.log.Close()
 }
 
-// notReady says why the balancer should send no one; "" when it should.
+// notReady returns the reason why the load balancer should not send requests to this
+// instance; empty if it is ready.
 func (n *Node) notReady() string {
 	if reason := n.lifecycle.NotReady("no configuration document yet"); reason != "" {
 		return reason
 	}
-	if !n.warmed.Load() {
+	if !n.connectionsOpened.Load() {
 		return "connections are being opened"
 	}
 	return ""
--- a/entry/node/policies.go
+++ b/entry/node/policies.go
@@ -8,16 +8,16 @@
 	_ "github.com/fuchsiaroad/fuchsiaroad/plugins" // registers the policies
 )
 
-// CheckPolicies reports a name that no plug-in has.
+// CheckPolicies returns an error if the settings name a policy that is not registered.
 func CheckPolicies(p settings.Policy) error {
 	if _, err := plugin.Placements.Get(p.Placement); err != nil {
 		return err
 	}
-	return policies(p).Check()
+	return executorPolicies(p).Check()
 }
 
-// policies converts the settings' names.
-func policies(p settings.Policy) executor.Policies {
+// executorPolicies converts the policy names of the settings to the executor's.
+func executorPolicies(p settings.Policy) executor.Policies {
 	return executor.Policies{
 		Dispatch:   dispatch.Policies{Routing: p.Routing, Order: p.Order, Limit: p.Limit},
 		Repetition: p.Repetition,
--- a/entry/node/status.go
+++ b/entry/node/status.go
@@ -8,7 +8,7 @@
 	"github.com/fuchsiaroad/fuchsiaroad/entry/probe"
 )
 
-// Status is what /status shows. It names no caller.
+// Status is the reply of /status. It contains no caller names.
 type Status struct {
 	Instance          string       `json:"instance"`
 	Zone              string       `json:"zone"`
@@ -28,24 +28,25 @@
 	ID       string `json:"id"`
 	Upstream string `json:"upstream"`
 	Draining bool   `json:"leaving"`
-	// Connections counts places of this instance's share of the leaf's limit.
+	// Connections is the number of connections in use, out of ConnectionLimit, this
+	// instance's share of the leaf's limit.
 	Connections     int   `json:"connections"`
 	ConnectionLimit int   `json:"share"`
 	Dials           int64 `json:"dials"`
-	// SinceReplyMS is how long ago the leaf last answered; -1 for never.
+	// SinceReplyMS is the time since the leaf last replied; -1 if it never has.
 	SinceReplyMS int64 `json:"heard_ms"`
 }
 
-// phaseNames are the phases in words.
+// phaseNames maps phases to their names in Status.
 var phaseNames = map[lifecycle.Phase]string{
 	lifecycle.Starting: "starting", lifecycle.Serving: "serving", lifecycle.Leaving: "leaving", lifecycle.Refusing: "refusing",
 }
 
-// status describes the instance.
+// status returns the current Status.
 func (n *Node) status() any {
 	s := Status{
 		Instance: n.settings.Instance, Zone: n.settings.Zone, Version: Version,
-		Phase: phaseNames[n.lifecycle.Get()], UptimeS: int64(time.Since(n.started).Seconds()),
+		Phase: phaseNames[n.lifecycle.Get()], UptimeS: int64(time.Since(n.startTime).Seconds()),
 		QueriesInFlight: n.executor.Running(), LogDrops: n.log.Dropped(), Leaves: []LeafStatus{},
 		QuarantineRecords: len(n.executor.Quarantine()),
 	}
@@ -56,7 +57,7 @@
 	s.Generation, s.Hash = v.Generation, v.Hash
 	for i := range v.Leaves {
 		leaf := &v.Leaves[i]
-		stats := n.leaves.Stats(probe.TargetOf(v, leaf))
+		stats := n.leafClient.Stats(probe.TargetOf(v, leaf))
 		sinceReply := int64(-1)
 		if at := n.executor.LastReply(leaf.ID); !at.IsZero() {
 			sinceReply = time.Since(at).Milliseconds()
--- a/entry/node/tls.go
+++ b/entry/node/tls.go
@@ -14,41 +14,43 @@
 	"github.com/fuchsiaroad/fuchsiaroad/entry/platform"
 )
 
-// certificateCheck is how often a certificate's files are looked at.
-const certificateCheck = 10 * time.Second
+// certificateCheckInterval is the minimum time between two checks of a certificate's
+// files.
+const certificateCheckInterval = 10 * time.Second
 
-// certificate is a key pair that is read again when its files change, so that
-// it is renewed without a restart. If the new files are not good, the old pair
-// stays in use.
-type certificate struct {
+// reloadingCertificate is a key pair that is reloaded when its files change, so that it
+// can be renewed without a restart. If the new files are invalid, the old pair stays
+// in use.
+type reloadingCertificate struct {
 	certFile, keyFile string
-	log               certificateLog
+	log               renewalLog
 
-	mu      sync.Mutex
-	pair    *tls.Certificate
-	changed time.Time // the newer file's time
-	checked time.Time
+	mu            sync.Mutex
+	pair          *tls.Certificate
+	loadedModTime time.Time // modification time of the newer file
+	lastCheck     time.Time
 }
 
-// certificateLog takes the lines on renewals; *telemetry.ComponentLog is one.
-type certificateLog interface {
+// renewalLog logs renewals of certificates; *telemetry.ComponentLog implements it.
+type renewalLog interface {
 	Info(msg string, pairs ...any)
 	Error(msg string, pairs ...any)
 }
 
-// newCertificate reads the pair for the first time.
-func newCertificate(certFile, keyFile string, log certificateLog) (*certificate, error) {
-	c := &certificate{certFile: certFile, keyFile: keyFile, log: log}
+// newReloadingCertificate loads the key pair.
+func newReloadingCertificate(certFile, keyFile string, log renewalLog) (*reloadingCertificate, error) {
+	c := &reloadingCertificate{certFile: certFile, keyFile: keyFile, log: log}
 	pair, err := tls.LoadX509KeyPair(certFile, keyFile)
 	if err != nil {
 		return nil, fmt.Errorf("read certificate %s: %w", certFile, err)
 	}
-	c.pair, c.changed, c.checked = &pair, c.modified(), time.Now()
+	c.pair, c.loadedModTime, c.lastCheck = &pair, c.latestModTime(), time.Now()
 	return c, nil
 }
 
-// modified is the newer of the two files' times; zero if one can't be seen.
-func (c *certificate) modified() time.Time {
+// latestModTime returns the modification time of the newer file; zero if either can't
+// be read.
+func (c *reloadingCertificate) latestModTime() time.Time {
 	var newest time.Time
 	for _, name := range []string{c.certFile, c.keyFile} {
 		info, err := os.Stat(name)
@@ -62,16 +64,16 @@
 	return newest
 }
 
-// current returns the pair, read again if the files have changed.
-func (c *certificate) current() *tls.Certificate {
+// current returns the key pair, after reloading it if the files have changed.
+func (c *reloadingCertificate) current() *tls.Certificate {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if time.Since(c.checked) < certificateCheck {
+	if time.Since(c.lastCheck) < certificateCheckInterval {
 		return c.pair
 	}
-	c.checked = time.Now()
-	modified := c.modified()
-	if modified.IsZero() || modified.Equal(c.changed) {
+	c.lastCheck = time.Now()
+	modified := c.latestModTime()
+	if modified.IsZero() || modified.Equal(c.loadedModTime) {
 		return c.pair
 	}
 	pair, err := tls.LoadX509KeyPair(c.certFile, c.keyFile)
@@ -79,17 +81,17 @@
 		c.log.Error("certificate was not renewed, the old one stays in use", "file", c.certFile, "err", err)
 		return c.pair
 	}
-	c.pair, c.changed = &pair, modified
+	c.pair, c.loadedModTime = &pair, modified
 	c.log.Info("certificate was renewed", "file", c.certFile)
 	return c.pair
 }
 
-// callersTLS is the configuration towards callers; nil for plain HTTP.
-func callersTLS(s settings.TLS, log certificateLog) (*tls.Config, error) {
+// callerTLSConfig returns the TLS configuration for callers; nil for plain HTTP.
+func callerTLSConfig(s settings.TLS, log renewalLog) (*tls.Config, error) {
 	if s.CallersCert == "" {
 		return nil, nil
 	}
-	cert, err := newCertificate(s.CallersCert, s.CallersKey, log)
+	cert, err := newReloadingCertificate(s.CallersCert, s.CallersKey, log)
 	if err != nil {
 		return nil, err
 	}
@@ -99,18 +101,19 @@
 	}, nil
 }
 
-// peersTLS is the configuration among entries, the same for both sides: each
-// shows a certificate of the peers' authority. The instance is proved by the
-// shared key, so that certificates need not carry changing addresses.
-func peersTLS(s settings.TLS, log certificateLog) (*tls.Config, error) {
+// peerTLSConfig returns the TLS configuration between entries, used by client and
+// server: both present a certificate issued by the peers' CA. The shared key
+// authenticates the instance, so certificates don't have to name addresses, which
+// change.
+func peerTLSConfig(s settings.TLS, log renewalLog) (*tls.Config, error) {
 	if s.PeersCert == "" {
 		return nil, nil
 	}
-	cert, err := newCertificate(s.PeersCert, s.PeersKey, log)
+	cert, err := newReloadingCertificate(s.PeersCert, s.PeersKey, log)
 	if err != nil {
 		return nil, err
 	}
-	roots, err := authority(s.PeersCA)
+	roots, err := readCertPool(s.PeersCA)
 	if err != nil {
 		return nil, err
 	}
@@ -121,13 +124,13 @@
 		ClientAuth:           tls.RequireAndVerifyClientCert,
 		ClientCAs:            roots,
 		RootCAs:              roots,
-		// Names are not compared: VerifyConnection checks the chain instead.
+		// Host names are not verified; VerifyConnection verifies the chain.
 		InsecureSkipVerify: true,
 		VerifyConnection:   func(state tls.ConnectionState) error { return verifyChain(state, roots) },
 	}, nil
 }
 
-// verifyChain checks that the other side's certificate comes from the authority.
+// verifyChain checks that the peer's certificate was issued by the CA.
 func verifyChain(state tls.ConnectionState, roots *x509.CertPool) error {
 	if len(state.PeerCertificates) == 0 {
 		return errors.New("peer showed no certificate")
@@ -142,8 +145,8 @@
 	return nil
 }
 
-// authority reads a pool of certificates.
-func authority(file string) (*x509.CertPool, error) {
+// readCertPool reads CA certificates from a PEM file.
+func readCertPool(file string) (*x509.CertPool, error) {
 	pem, err := os.ReadFile(file)
 	if err != nil {
 		return nil, fmt.Errorf("read authority: %w", err)
@@ -155,22 +158,22 @@
 	return pool, nil
 }
 
-// platformTransport trusts the authority of the settings; nil is the client's
-// own transport, which trusts the system's.
+// platformTransport returns a transport that trusts the CA of the settings. It is nil
+// if there is none: the client's default transport trusts the system's CAs.
 func platformTransport(s settings.Platform) (http.RoundTripper, error) {
 	if s.CAFile == "" {
 		return nil, nil
 	}
-	roots, err := authority(s.CAFile)
+	roots, err := readCertPool(s.CAFile)
 	if err != nil {
 		return nil, err
 	}
 	return &http.Transport{
 		TLSClientConfig:     &tls.Config{MinVersion: tls.VersionTLS12, RootCAs: roots},
 		MaxIdleConnsPerHost: platform.DefaultConcurrency,
-		IdleConnTimeout:     platformIdle,
+		IdleConnTimeout:     platformIdleTimeout,
 	}, nil
 }
 
-// platformIdle is how long an unused connection to the platform is kept.
-const platformIdle = 90 * time.Second
+// platformIdleTimeout is how long an idle connection to the platform is kept open.
+const platformIdleTimeout = 90 * time.Second
--- a/entry/node/tls_test.go
+++ b/entry/node/tls_test.go
@@ -27,15 +27,15 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// issuer is a certificate authority for tests.
-type issuer struct {
+// testCA is a certificate authority.
+type testCA struct {
 	t    *testing.T
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 	pem  []byte
 }
 
-func newIssuer(t *testing.T, name string) *issuer {
+func newTestCA(t *testing.T, name string) *testCA {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -53,11 +53,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &issuer{t: t, cert: cert, key: key, pem: pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der})}
+	return &testCA{t: t, cert: cert, key: key, pem: pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der})}
 }
 
-// write issues a certificate with the serial number into the folder.
-func (i *issuer) write(dir string, serial int64) settings.TLS {
+// writeCertificate issues a certificate with the serial number and writes its files to dir.
+func (i *testCA) writeCertificate(dir string, serial int64) settings.TLS {
 	i.t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -92,14 +92,14 @@
 	}
 }
 
-// lines counts log lines.
-type lines struct{ infos, errors int }
+// countingLog is a renewalLog that counts lines.
+type countingLog struct{ infos, errors int }
 
-func (l *lines) Info(string, ...any)  { l.infos++ }
-func (l *lines) Error(string, ...any) { l.errors++ }
+func (l *countingLog) Info(string, ...any)  { l.infos++ }
+func (l *countingLog) Error(string, ...any) { l.errors++ }
 
-// serial is the serial number of a pair's certificate.
-func serial(t *testing.T, pair *tls.Certificate) int64 {
+// serialNumber is the serialNumber number of a pair's certificate.
+func serialNumber(t *testing.T, pair *tls.Certificate) int64 {
 	t.Helper()
 	cert, err := x509.ParseCertificate(pair.Certificate[0])
 	if err != nil {
@@ -108,13 +108,13 @@
 	return cert.SerialNumber.Int64()
 }
 
-// TestCertificateIsRenewedWithoutARestart replaces the files, once by a good
-// pair and once by rubbish.
+// TestCertificateIsRenewedWithoutARestart replaces the files by a valid pair, by an
+// invalid certificate, which must leave the old pair in use, and by a valid pair again.
 func TestCertificateIsRenewedWithoutARestart(t *testing.T) {
-	dir, ca := t.TempDir(), newIssuer(t, "ca")
-	s := ca.write(dir, 11)
-	log := &lines{}
-	c, err := newCertificate(s.CallersCert, s.CallersKey, log)
+	dir, ca := t.TempDir(), newTestCA(t, "ca")
+	s := ca.writeCertificate(dir, 11)
+	log := &countingLog{}
+	c, err := newReloadingCertificate(s.CallersCert, s.CallersKey, log)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -126,16 +126,16 @@
 				t.Fatal(err)
 			}
 		}
-		c.checked = time.Time{} // the time of the next look has come
-		return serial(t, c.current())
+		c.lastCheck = time.Time{} // the next call checks the files
+		return serialNumber(t, c.current())
 	}
-	if got := renew(func() { ca.write(dir, 12) }, time.Minute); got != 12 {
+	if got := renew(func() { ca.writeCertificate(dir, 12) }, time.Minute); got != 12 {
 		t.Errorf("serial %d after the renewal, want 12", got)
 	}
 	if got := renew(func() { _ = os.WriteFile(s.CallersCert, []byte("rubbish"), 0o600) }, 2*time.Minute); got != 12 {
 		t.Errorf("serial %d after a bad renewal, want 12 still", got)
 	}
-	if got := renew(func() { ca.write(dir, 13) }, 3*time.Minute); got != 13 {
+	if got := renew(func() { ca.writeCertificate(dir, 13) }, 3*time.Minute); got != 13 {
 		t.Errorf("serial %d after the repair, want 13", got)
 	}
 	if log.infos != 2 || log.errors != 1 {
@@ -143,18 +143,18 @@
 	}
 }
 
-// handler answers peers with nothing.
-type handler struct{}
+// emptyHandler answers peers with an empty digest and an empty document.
+type emptyHandler struct{}
 
-func (handler) Digest(string, *peerapi.Digest) *peerapi.Digest { return &peerapi.Digest{} }
-func (handler) Document(uint64) *peerapi.Document              { return &peerapi.Document{Generation: 5} }
+func (emptyHandler) Digest(string, *peerapi.Digest) *peerapi.Digest { return &peerapi.Digest{} }
+func (emptyHandler) Document(uint64) *peerapi.Document              { return &peerapi.Document{Generation: 5} }
 
-// TestPeersShowCertificatesOfTheAuthority lets a peer in whose certificate
-// comes from the authority, and no other, although it knows the key.
-func TestPeersShowCertificatesOfTheAuthority(t *testing.T) {
-	ca, other := newIssuer(t, "ca"), newIssuer(t, "other")
-	config := func(i *issuer, serial int64) *tls.Config {
-		c, err := peersTLS(i.write(t.TempDir(), serial), &lines{})
+// TestPeersNeedCertificateFromCA checks that a peer is accepted only with a
+// certificate from the CA, even if it knows the shared key.
+func TestPeersNeedCertificateFromCA(t *testing.T) {
+	ca, other := newTestCA(t, "ca"), newTestCA(t, "other")
+	config := func(i *testCA, serial int64) *tls.Config {
+		c, err := peerTLSConfig(i.writeCertificate(t.TempDir(), serial), &countingLog{})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -166,7 +166,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
-	server := peer.NewServer(peer.ServerConfig{Instance: "server", Key: []byte("key"), Handler: handler{}})
+	server := peer.NewServer(peer.ServerConfig{Instance: "server", Key: []byte("key"), Handler: emptyHandler{}})
 	go func() { done <- server.Serve(ctx, tls.NewListener(raw, config(ca, 2))) }()
 	defer func() {
 		cancel()
@@ -191,24 +191,25 @@
 	}
 }
 
-// TestNoTLSBySettings leaves both sides plain when no files are named.
-func TestNoTLSBySettings(t *testing.T) {
-	callers, err := callersTLS(settings.TLS{}, &lines{})
+// TestTLSIsOffWithoutFiles checks that TLS is off when the settings name no files, and
+// that missing files are an error.
+func TestTLSIsOffWithoutFiles(t *testing.T) {
+	callers, err := callerTLSConfig(settings.TLS{}, &countingLog{})
 	if callers != nil || err != nil {
 		t.Errorf("callers: %v, %v", callers, err)
 	}
-	peers, err := peersTLS(settings.TLS{}, &lines{})
+	peers, err := peerTLSConfig(settings.TLS{}, &countingLog{})
 	if peers != nil || err != nil {
 		t.Errorf("peers: %v, %v", peers, err)
 	}
-	if _, err := callersTLS(settings.TLS{CallersCert: "missing.pem", CallersKey: "missing.pem"}, &lines{}); err == nil {
+	if _, err := callerTLSConfig(settings.TLS{CallersCert: "missing.pem", CallersKey: "missing.pem"}, &countingLog{}); err == nil {
 		t.Error("missing files are no error")
 	}
 }
 
-// TestPlatformsAuthority trusts the platform's certificate by the settings'
-// authority, and not by another.
-func TestPlatformsAuthority(t *testing.T) {
+// TestPlatformTransportTrustsOnlyConfiguredCA connects with the CA of the platform's
+// certificate and with another.
+func TestPlatformTransportTrustsOnlyConfiguredCA(t *testing.T) {
 	srv := httptest.NewTLSServer(http.NotFoundHandler())
 	defer srv.Close()
 	good := filepath.Join(t.TempDir(), "ca.pem")
@@ -217,7 +218,7 @@
 		t.Fatal(err)
 	}
 	bad := filepath.Join(t.TempDir(), "other.pem")
-	if err := os.WriteFile(bad, newIssuer(t, "other").pem, 0o600); err != nil {
+	if err := os.WriteFile(bad, newTestCA(t, "other").pem, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for file, want := range map[string]bool{good: true, bad: false} {
