--- a/entry/node/tls_test.go
+++ b/entry/node/tls_test.go
@@ -98,7 +98,7 @@
 func (l *countingLog) Info(string, ...any)  { l.infos++ }
 func (l *countingLog) Error(string, ...any) { l.errors++ }
 
-// serialNumber is the serialNumber number of a pair's certificate.
+// serialNumber returns the serial number of a pair's certificate.
 func serialNumber(t *testing.T, pair *tls.Certificate) int64 {
 	t.Helper()
 	cert, err := x509.ParseCertificate(pair.Certificate[0])
@@ -143,7 +143,7 @@
 	}
 }
 
-// emptyHandler answers peers with an empty digest and an empty document.
+// emptyHandler answers peers with an empty digest and a document without content.
 type emptyHandler struct{}
 
 func (emptyHandler) Digest(string, *peerapi.Digest) *peerapi.Digest { return &peerapi.Digest{} }
