--- a/entry/control/config.go
+++ b/entry/control/config.go
@@ -39,7 +39,7 @@
 	MergeQuarantine(list []peerapi.QuarantineRecord)
 }
 
-// Logger writes log lines for operators. *telemetry.Part implements it.
+// Logger writes log lines for operators. *telemetry.ComponentLog implements it.
 type Logger interface {
 	Info(msg string, pairs ...any)
 	Warn(msg string, pairs ...any)
--- a/entry/executor/exchange.go
+++ b/entry/executor/exchange.go
@@ -23,7 +23,7 @@
 func (e *Executor) exchange(p *pool, s dispatchedAttempt) {
 	a := s.attempt
 	defer a.cancel()
-	e.logDecision(a, telemetry.Decision{Part: prefixDispatch, What: "dispatch", Leaf: s.leaf.ID, Why: s.action.Reason, Took: s.action.QueueTime, Class: telemetry.Routine})
+	e.logDecision(a, telemetry.Decision{Component: prefixDispatch, Event: "dispatch", Leaf: s.leaf.ID, Reason: s.action.Reason, Duration: s.action.QueueTime, Class: telemetry.Routine})
 	a.run.recordQueueWait(s.action.QueueTime)
 	leaf := a.leafIndex(s.leaf.ID)
 	// The deadline is checked again right before sending: an instance that was
@@ -40,14 +40,14 @@
 	request := &leafclient.Request{ID: a.run.id, Attempt: a.token, Version: a.offer.Version, Range: a.offer.Part.Range, Body: a.run.request.Body, Forwarded: a.run.request.Forwarded}
 	reply, err := e.config.LeafClient.Run(s.ctx, target, request, func() bool { return a.run.confirmSend(a, leaf) })
 	if err != nil {
-		a.run.service.metrics.Attempt(attemptOutcome(s.ctx, err), s.action.QueueTime)
+		a.run.service.metrics.CountAttempt(attemptOutcome(s.ctx, err), s.action.QueueTime)
 		e.handleFailure(s.ctx, p, a, failedExchange{leaf: leaf, up: up, err: err})
 		return
 	}
 	a.run.recordCompletion()
 	a.run.recordReplyTime(a, time.Since(a.started))
 	e.RecordStatus(s.leaf.ID, reply.LeafStatus)
-	a.run.service.metrics.Attempt(telemetry.AttemptReply, s.action.QueueTime)
+	a.run.service.metrics.CountAttempt(telemetry.AttemptReply, s.action.QueueTime)
 	p.finishAttempt(a, dispatch.OutcomeReply, reply.Service)
 	a.run.mail.put(query.Reply{Attempt: a.offer.Attempt, Leaf: leaf, Version: reply.Version, Ranges: reply.Ranges, Body: reply.Body, Versions: reply.Versions, Attachment: reply.Attachment})
 }
@@ -89,7 +89,7 @@
 	if ctx.Err() != nil {
 		class = telemetry.Routine // it was withdrawn: another attempt answered, or the query is over
 	}
-	e.logDecision(a, telemetry.Decision{Part: prefixDispatch, What: "attempt failed", Leaf: a.leafID, Why: failureCause(err), Took: time.Since(a.started), Class: class})
+	e.logDecision(a, telemetry.Decision{Component: prefixDispatch, Event: "attempt failed", Leaf: a.leafID, Reason: failureCause(err), Duration: time.Since(a.started), Class: class})
 	switch {
 	case errors.As(err, &dial):
 		outcome := dispatch.OutcomeDialFailed
@@ -167,11 +167,11 @@
 
 // logDecision logs a decision about an attempt.
 func (e *Executor) logDecision(a *attempt, d telemetry.Decision) {
-	if !e.config.Log.DecisionsOn() {
+	if !e.config.Log.DecisionsEnabled() {
 		return
 	}
 	d.Query = a.ticket.Query
 	d.Request = a.run.request.callerRequestID()
 	d.Shard = a.shardName()
-	e.config.Log.Decide(d)
+	e.config.Log.LogDecision(d)
 }
--- a/entry/executor/execute.go
+++ b/entry/executor/execute.go
@@ -85,7 +85,7 @@
 	if err != nil {
 		end = refusalLabels(err)
 	}
-	meter.Observe(end.outcome, end.reason, time.Since(req.Start))
+	meter.ObserveQuery(end.outcome, end.reason, time.Since(req.Start))
 	return err
 }
 
@@ -184,12 +184,12 @@
 // recordWork adds what the query cost to the metrics and logs its answer.
 func (r *run) recordWork(a *query.Answer) {
 	m := r.service.metrics
-	m.Sent.Inc(int64(a.Sent))
-	m.Covered.Inc(int64(len(a.Results)))
+	m.SubrequestsSent.Inc(int64(a.Sent))
+	m.ShardsCovered.Inc(int64(len(a.Results)))
 	m.Hedges.Inc(int64(a.Hedges))
 	m.Retries.Inc(int64(a.Retries))
-	m.Ignored.Inc(int64(a.Ignored))
-	m.Moves.Inc(int64(a.VersionMoves))
+	m.RepliesIgnored.Inc(int64(a.Ignored))
+	m.VersionMoves.Inc(int64(a.VersionMoves))
 	r.logAnswer(a)
 }
 
--- a/entry/executor/executor_test.go
+++ b/entry/executor/executor_test.go
@@ -125,7 +125,7 @@
 // services "ask" (idempotent) and "note" (not idempotent).
 func newTestExecutor(t *testing.T, shards int) *testExecutor {
 	t.Helper()
-	log, err := telemetry.NewLog(io.Discard, telemetry.Options{Level: "info", Decisions: true})
+	log, err := telemetry.NewLog(io.Discard, telemetry.Options{Level: "info", LogDecisions: true})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/entry/executor/gather.go
+++ b/entry/executor/gather.go
@@ -111,7 +111,7 @@
 		r.recordGathered(o.Attempt, reply)
 	})
 	if outcome := groupOutcome(ctx, err, replies); outcome != "" {
-		r.service.metrics.Group(outcome)
+		r.service.metrics.CountGroup(outcome)
 	}
 	if err == nil {
 		return
@@ -171,7 +171,7 @@
 	if ctx.Err() != nil {
 		class = telemetry.Routine // nobody waits for it
 	}
-	r.executor.config.Log.Decide(telemetry.Decision{
-		Part: prefixQuery, What: "group failed", Query: r.stamp, Request: r.request.callerRequestID(), Why: err.Error(), Took: time.Since(r.request.Start), Class: class,
+	r.executor.config.Log.LogDecision(telemetry.Decision{
+		Component: prefixQuery, Event: "group failed", Query: r.stamp, Request: r.request.callerRequestID(), Reason: err.Error(), Duration: time.Since(r.request.Start), Class: class,
 	})
 }
--- a/entry/executor/leaf_loss.go
+++ b/entry/executor/leaf_loss.go
@@ -33,7 +33,7 @@
 		return false
 	}
 	r.suspected.Store(true)
-	e.logDecision(a, telemetry.Decision{Part: prefixQuery, What: "suspect", Leaf: a.leafID, Why: r.fingerprint, More: []any{"lost", threshold}})
+	e.logDecision(a, telemetry.Decision{Component: prefixQuery, Event: "suspect", Leaf: a.leafID, Reason: r.fingerprint, Extra: []any{"lost", threshold}})
 	e.applyQuarantineActions(actions)
 	return true
 }
--- a/entry/executor/pool.go
+++ b/entry/executor/pool.go
@@ -235,7 +235,7 @@
 
 // report logs the refusal and passes it to the query.
 func (r refusedAttempt) report(p *pool) {
-	p.executor.logDecision(r.attempt, telemetry.Decision{Part: prefixDispatch, What: "refuse", Why: string(r.action.Reason)})
+	p.executor.logDecision(r.attempt, telemetry.Decision{Component: prefixDispatch, Event: "refuse", Reason: string(r.action.Reason)})
 	r.attempt.run.mail.put(query.NotSent{Attempt: r.attempt.offer.Attempt, Reason: r.action.Reason, RetryAfter: r.action.RetryAfter})
 }
 
--- a/entry/executor/run.go
+++ b/entry/executor/run.go
@@ -192,10 +192,10 @@
 	}
 	r.attempts[o.Attempt] = a
 	if o.Hedge {
-		r.executor.logDecision(a, telemetry.Decision{Part: prefixQuery, What: "hedge", Class: telemetry.Routine})
+		r.executor.logDecision(a, telemetry.Decision{Component: prefixQuery, Event: "hedge", Class: telemetry.Routine})
 	}
 	if o.Retry {
-		r.executor.logDecision(a, telemetry.Decision{Part: prefixQuery, What: "retry", Class: telemetry.Outcome})
+		r.executor.logDecision(a, telemetry.Decision{Component: prefixQuery, Event: "retry", Class: telemetry.Outcome})
 	}
 	if !o.Hedge && !o.Retry {
 		r.directShards.Add(1)
@@ -236,7 +236,7 @@
 	e := r.executor
 	actions := e.quarantine.observe(quarantine.AttemptEnded{Fingerprint: r.fingerprint, Leaf: a.leafIDAt(v.Leaf), Crashed: v.Crashed, Solo: a.offer.Solo}, time.Now())
 	if v.Crashed {
-		e.logDecision(a, telemetry.Decision{Part: prefixQuery, What: "suspect", Leaf: a.leafIDAt(v.Leaf), Why: r.fingerprint})
+		e.logDecision(a, telemetry.Decision{Component: prefixQuery, Event: "suspect", Leaf: a.leafIDAt(v.Leaf), Reason: r.fingerprint})
 	}
 	e.applyQuarantineActions(actions)
 }
--- a/entry/hosted/badentries.go
+++ b/entry/hosted/badentries.go
@@ -10,14 +10,14 @@
 // badEntryReporter reports entries of the store that can't be used: once for each change of
 // such an entry rather than at each read. It is not safe for concurrent use.
 type badEntryReporter struct {
-	log   *telemetry.Part
+	log   *telemetry.ComponentLog
 	scope tally.Scope
 	// reported holds the bad entries of the last read, by name.
 	reported map[string]catalog.BadEntry
 }
 
 // newBadEntryReporter makes a reporter of bad entries of one kind.
-func newBadEntryReporter(log *telemetry.Part, scope tally.Scope, kind string) *badEntryReporter {
+func newBadEntryReporter(log *telemetry.ComponentLog, scope tally.Scope, kind string) *badEntryReporter {
 	return &badEntryReporter{log: log, scope: scope.SubScope("hosted").Tagged(map[string]string{"kind": kind})}
 }
 
--- a/entry/hosted/control.go
+++ b/entry/hosted/control.go
@@ -33,7 +33,7 @@
 // control owns the catalog. Only the goroutine of run uses the catalog; others send it messages.
 type control struct {
 	node     *Node
-	log      *telemetry.Part
+	log      *telemetry.ComponentLog
 	catalog  *catalog.Catalog
 	inbox    chan any
 	sequence uint64
@@ -117,10 +117,10 @@
 // newControl makes a control that has read nothing yet.
 func newControl(n *Node) *control {
 	return &control{
-		node: n, log: n.log.Part("control"), peers: n.peers, catalog: catalog.New(n.config.Tunables.Catalog),
+		node: n, log: n.log.Component("control"), peers: n.peers, catalog: catalog.New(n.config.Tunables.Catalog),
 		inbox: make(chan any, inboxLength), syncRequested: make(chan struct{}, 1),
 		gauges:    stateGauges{scope: n.metrics.Scope.SubScope("hosted")},
-		badLeaves: newBadEntryReporter(n.log.Part("control"), n.metrics.Scope, "leaves"),
+		badLeaves: newBadEntryReporter(n.log.Component("control"), n.metrics.Scope, "leaves"),
 	}
 }
 
--- a/entry/hosted/membership.go
+++ b/entry/hosted/membership.go
@@ -53,7 +53,7 @@
 // updates it from the announcements in the store and the lists of peers.
 type membership struct {
 	node      *Node
-	log       *telemetry.Part
+	log       *telemetry.ComponentLog
 	self      fleet.Instance
 	startedAt time.Time
 	// badInstances reports the announcements that can't be used.
@@ -76,8 +76,8 @@
 	repeatWindow := n.config.Tunables.Catalog.RepeatLimit.Window
 	self := fleet.Instance{Name: n.config.Instance, Zone: n.config.Zone, PeerAddress: n.config.PeerAddress, CPUs: n.config.CPUs, AnnouncementID: rand.Uint64()}
 	m := &membership{
-		node: n, log: n.log.Part("fleet"), self: self, startedAt: time.Now(), listKnown: make(chan struct{}),
-		badInstances: newBadEntryReporter(n.log.Part("fleet"), n.metrics.Scope, "instances"),
+		node: n, log: n.log.Component("fleet"), self: self, startedAt: time.Now(), listKnown: make(chan struct{}),
+		badInstances: newBadEntryReporter(n.log.Component("fleet"), n.metrics.Scope, "instances"),
 		fleet: fleet.New(self, fleet.Settings{
 			ForgetAfter: forgetInstanceAfter, PeerBackoff: peerBackoff, MaxPeerBackoff: maxPeerBackoff, StalePeerBackoff: stalePeerBackoff, ListPropagationBound: listPropagationBound,
 			RepeatWindow: repeatWindow, ShareHoldTime: max(repeatWindow, listPropagationBound),
--- a/entry/hosted/serve.go
+++ b/entry/hosted/serve.go
@@ -35,7 +35,7 @@
 		if err == nil || ctx.Err() != nil || !errors.Is(err, syscall.EADDRINUSE) || time.Since(startedAt) >= listenRetryPeriod {
 			return l, err
 		}
-		n.log.Part("node").Warn("address is in use", "address", address, "for", time.Since(startedAt))
+		n.log.Component("node").Warn("address is in use", "address", address, "for", time.Since(startedAt))
 	}
 }
 
--- a/entry/hosted/stop.go
+++ b/entry/hosted/stop.go
@@ -24,7 +24,7 @@
 // until the end, because a client may be about to use one. Each request gets an
 // answer; one that comes too late is told correctly that it was not run.
 func (n *Node) drain(ctx context.Context) {
-	log := n.log.Part("node")
+	log := n.log.Component("node")
 	startedAt := time.Now()
 	grace := n.tunables.Load().GracePeriod
 	n.lifecycle.Set(lifecycle.Leaving)
--- a/entry/telemetry/log_test.go
+++ b/entry/telemetry/log_test.go
@@ -15,7 +15,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// gatedSink takes nothing until the gate opens.
+// gatedSink blocks writes until the gate channel is closed.
 type gatedSink struct {
 	gate chan struct{}
 	mu   sync.Mutex
@@ -35,20 +35,20 @@
 	return s.buf.String()
 }
 
-// TestTrafficNeverWaitsOnTheSink logs more than the queue holds to a sink that
-// stands still: no virtual time passes, and the rest is counted as dropped.
-func TestTrafficNeverWaitsOnTheSink(t *testing.T) {
+// TestBlockedSinkDoesNotBlockLogging logs more than the queue holds to a blocked
+// sink: no call blocks, and the records beyond the queue are counted as dropped.
+func TestBlockedSinkDoesNotBlockLogging(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sink := &gatedSink{gate: make(chan struct{})}
-		l, err := NewLog(sink, Options{Level: "info", Decisions: true})
+		l, err := NewLog(sink, Options{Level: "info", LogDecisions: true})
 		if err != nil {
 			t.Fatal(err)
 		}
 		const extra = 100
 		for i := range queueLength + extra {
-			l.Decide(Decision{Part: "dispatch", What: "dispatch", Query: uint64(i)})
+			l.LogDecision(Decision{Component: "dispatch", Event: "dispatch", Query: uint64(i)})
 		}
-		// One record may be in the writer's hands.
+		// The writing goroutine may have taken one record from the queue.
 		if d := l.Dropped(); d < extra-1 || d > extra {
 			t.Errorf("%d dropped, want %d", d, extra)
 		}
@@ -57,22 +57,22 @@
 		if n := int64(strings.Count(sink.String(), "\n")); n != queueLength+extra-l.Dropped() {
 			t.Errorf("%d lines written", n)
 		}
-		l.Decide(Decision{Part: "dispatch", What: "late"}) // must not panic
+		l.LogDecision(Decision{Component: "dispatch", Event: "late"}) // must not panic
 	})
 }
 
-// TestLines checks prefix, fields, level and the record's own time.
-func TestLines(t *testing.T) {
+// TestLineFormat checks the prefix, fields, level and timestamp of written lines.
+func TestLineFormat(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var buf bytes.Buffer
-		l, err := NewLog(&buf, Options{Level: "info", Decisions: true})
+		l, err := NewLog(&buf, Options{Level: "info", LogDecisions: true})
 		if err != nil {
 			t.Fatal(err)
 		}
-		l.Part("node").Debug("unseen")
-		l.Part("node").Info("serving", "instance", "a")
+		l.Component("node").Debug("unseen")
+		l.Component("node").Info("serving", "instance", "a")
 		l.Logger("ledger").Warn("slow", "bucket", 3)
-		l.Decide(Decision{Part: "query", What: "answer", Query: 7, Why: "complete", Took: time.Millisecond})
+		l.LogDecision(Decision{Component: "query", Event: "answer", Query: 7, Reason: "complete", Duration: time.Millisecond})
 		l.Close()
 		want := "2000-01-01T00:00:00.000000Z INFO node: serving instance=a\n" +
 			"2000-01-01T00:00:00.000000Z WARN ledger: slow bucket=3\n" +
@@ -83,34 +83,34 @@
 	})
 }
 
-// TestUnknownLevel names the wrong setting.
-func TestUnknownLevel(t *testing.T) {
+// TestUnknownLevelIsRejected checks that the error names the unknown level.
+func TestUnknownLevelIsRejected(t *testing.T) {
 	if _, err := NewLog(io.Discard, Options{Level: "loud"}); err == nil || !strings.Contains(err.Error(), "loud") {
 		t.Errorf("error %v", err)
 	}
 }
 
-// BenchmarkDecide measures what one decision line costs its traffic goroutine.
+// BenchmarkDecide measures what one decision line costs the goroutine that logs it.
 func BenchmarkDecide(b *testing.B) {
-	l, err := NewLog(io.Discard, Options{Level: "info", Decisions: true})
+	l, err := NewLog(io.Discard, Options{Level: "info", LogDecisions: true})
 	if err != nil {
 		b.Fatal(err)
 	}
 	defer l.Close()
 	b.ReportAllocs()
 	for b.Loop() {
-		l.Decide(Decision{Part: "dispatch", What: "dispatch", Query: 1, Shard: "titles 0-1", Leaf: "titles-0-0", Why: "cheaper of two"})
+		l.LogDecision(Decision{Component: "dispatch", Event: "dispatch", Query: 1, Shard: "titles 0-1", Leaf: "titles-0-0", Reason: "cheaper of two"})
 	}
 	b.ReportMetric(float64(l.Dropped())/float64(b.N), "drops/op")
 }
 
 // BenchmarkDecideWritten measures what one line costs the process until it is written
-// as JSON, and what one costs that its budget leaves out.
+// as JSON, and what a line costs that is over its budget.
 func BenchmarkDecideWritten(b *testing.B) {
 	const batch = queueLength / 2
 	line := Decision{
-		Part: "dispatch", What: "dispatch", Query: 1, Request: "9c41d07be2a35f68", Shard: "titles-7", Leaf: "i-7f3a91c2",
-		Why: "least delay, own zone", Class: Routine,
+		Component: "dispatch", Event: "dispatch", Query: 1, Request: "9c41d07be2a35f68", Shard: "titles-7", Leaf: "i-7f3a91c2",
+		Reason: "least delay, own zone", Class: Routine,
 	}
 	for _, bc := range []struct {
 		name    string
@@ -119,12 +119,12 @@
 		b.Run(bc.name, func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				l, err := NewLog(io.Discard, Options{Level: "info", Format: "json", Decisions: true, Budgets: bc.budgets})
+				l, err := NewLog(io.Discard, Options{Level: "info", Format: "json", LogDecisions: true, DecisionBudgets: bc.budgets})
 				if err != nil {
 					b.Fatal(err)
 				}
 				for range batch {
-					l.Decide(line)
+					l.LogDecision(line)
 				}
 				l.Close()
 				if l.Dropped() > 0 {
@@ -136,8 +136,9 @@
 	}
 }
 
-// TestLevelBoundsLines checks that neither parts nor decisions write below the level.
-func TestLevelBoundsLines(t *testing.T) {
+// TestLinesBelowLevelAreDropped checks that neither messages nor decisions below the
+// log level are written.
+func TestLinesBelowLevelAreDropped(t *testing.T) {
 	for _, tc := range []struct {
 		level string
 		want  string
@@ -147,17 +148,17 @@
 		{"warn", "WARN node: w|"},
 	} {
 		var sink bytes.Buffer
-		l, err := NewLog(&sink, Options{Level: tc.level, Decisions: true})
+		l, err := NewLog(&sink, Options{Level: tc.level, LogDecisions: true})
 		if err != nil {
 			t.Fatal(err)
 		}
-		p := l.Part("node")
+		p := l.Component("node")
 		p.Debug("d")
 		p.Info("i")
 		p.Warn("w")
-		l.Decide(Decision{Part: "query", What: "answer", Query: 7})
-		if l.DecisionsOn() != strings.Contains(tc.want, "answer") {
-			t.Errorf("level %s: decisions on is %v", tc.level, l.DecisionsOn())
+		l.LogDecision(Decision{Component: "query", Event: "answer", Query: 7})
+		if l.DecisionsEnabled() != strings.Contains(tc.want, "answer") {
+			t.Errorf("level %s: decisions on is %v", tc.level, l.DecisionsEnabled())
 		}
 		l.Close()
 		var got strings.Builder
@@ -171,14 +172,15 @@
 	}
 }
 
-// TestRecordIsOneLine logs values with line breaks, as an error or a string.
-func TestRecordIsOneLine(t *testing.T) {
+// TestRecordStaysOnOneLine logs an error and a string with line breaks. Without
+// joining, the text after a break could pass for another record.
+func TestRecordStaysOnOneLine(t *testing.T) {
 	var sink bytes.Buffer
 	l, err := NewLog(&sink, Options{Level: "info"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.Part("control").Error("refused", "err", errors.New("invalid document: a\n  b\r\n  c\n"), "reason", "x\n2000-01-01 INFO node: forged", "generation", 3)
+	l.Component("control").Error("refused", "err", errors.New("invalid document: a\n  b\r\n  c\n"), "reason", "x\n2000-01-01 INFO node: forged", "generation", 3)
 	l.Close()
 	_, got, _ := strings.Cut(sink.String(), " ")
 	want := `ERRO control: refused err="invalid document: a; b; c" reason="x; 2000-01-01 INFO node: forged" generation=3` + "\n"
