--- a/entry/control/config.go
+++ b/entry/control/config.go
@@ -35,11 +35,11 @@
 // Quarantine gives and takes the quarantined leaves that digests carry.
 // *executor.Executor implements it.
 type Quarantine interface {
-	Quarantine() []peerapi.Quarantined
-	MergeQuarantine(list []peerapi.Quarantined)
+	Quarantine() []peerapi.QuarantineRecord
+	MergeQuarantine(list []peerapi.QuarantineRecord)
 }
 
-// Logger writes log lines for operators. *telemetry.Part implements it.
+// Logger writes log lines for operators. *telemetry.ComponentLog implements it.
 type Logger interface {
 	Info(msg string, pairs ...any)
 	Warn(msg string, pairs ...any)
--- a/entry/executor/admission.go
+++ b/entry/executor/admission.go
@@ -41,9 +41,9 @@
 	if decision.Admitted {
 		return nil
 	}
-	e.config.Log.Decide(telemetry.Decision{
-		Part: prefixQuery, What: "refuse", Query: r.stamp, Request: r.request.callerRequestID(), Why: "too few parts would finish in time",
-		More: []any{"service", r.request.Service.Config.Name, "fit", decision.ServableShare, "yields", decision.YieldedToUrgent, "left", left, "retry_after", decision.RetryAfter},
+	e.config.Log.LogDecision(telemetry.Decision{
+		Component: prefixQuery, Event: "refuse", Query: r.stamp, Request: r.request.callerRequestID(), Reason: "too few parts would finish in time",
+		Extra: []any{"service", r.request.Service.Config.Name, "fit", decision.ServableShare, "yields", decision.YieldedToUrgent, "left", left, "retry_after", decision.RetryAfter},
 	})
 	return refuse(RefusedOverloaded, decision.RetryAfter, "too few parts would finish in time")
 }
--- a/entry/executor/at_most_once.go
+++ b/entry/executor/at_most_once.go
@@ -85,7 +85,7 @@
 func resendResponse(held *ledger.HeldError) *Response {
 	answer := callerapi.Answer{
 		Request: newToken(), Replayed: true, RetryAfterMS: held.RetryAfter.Milliseconds(),
-		Covered: []callerapi.Part{}, Missing: []callerapi.Missing{}, Results: []callerapi.Result{},
+		Covered: []callerapi.Part{}, Missing: []callerapi.MissingPart{}, Results: []callerapi.Result{},
 	}
 	switch held.State {
 	case ledger.StateRecorded:
--- a/entry/executor/execute.go
+++ b/entry/executor/execute.go
@@ -85,7 +85,7 @@
 	if err != nil {
 		end = refusalLabels(err)
 	}
-	meter.Observe(end.outcome, end.reason, time.Since(req.Start))
+	meter.ObserveQuery(end.outcome, end.reason, time.Since(req.Start))
 	return err
 }
 
@@ -184,12 +184,12 @@
 // recordWork adds what the query cost to the metrics and logs its answer.
 func (r *run) recordWork(a *query.Answer) {
 	m := r.service.metrics
-	m.Sent.Inc(int64(a.Sent))
-	m.Covered.Inc(int64(len(a.Results)))
+	m.SubrequestsSent.Inc(int64(a.Sent))
+	m.ShardsCovered.Inc(int64(len(a.Results)))
 	m.Hedges.Inc(int64(a.Hedges))
 	m.Retries.Inc(int64(a.Retries))
-	m.Ignored.Inc(int64(a.Ignored))
-	m.Moves.Inc(int64(a.VersionMoves))
+	m.RepliesIgnored.Inc(int64(a.Ignored))
+	m.VersionMoves.Inc(int64(a.VersionMoves))
 	r.logAnswer(a)
 }
 
@@ -198,7 +198,7 @@
 	out := callerapi.Answer{
 		Request: r.id, Outcome: string(a.Outcome), Version: a.Version, Share: a.Share, Reason: a.Reason,
 		Covered: make([]callerapi.Part, 0, len(a.Covered)),
-		Missing: make([]callerapi.Missing, 0, len(a.Missing)),
+		Missing: make([]callerapi.MissingPart, 0, len(a.Missing)),
 		Results: make([]callerapi.Result, 0, len(a.Results)),
 		Work:    callerapi.Work{Sent: a.Sent, Hedges: a.Hedges, Retries: a.Retries},
 	}
@@ -206,10 +206,10 @@
 		out.Covered = append(out.Covered, r.callerPart(p))
 	}
 	for _, m := range a.Missing {
-		out.Missing = append(out.Missing, callerapi.Missing{Part: r.callerPart(m.Part), Reason: missingReason(m)})
+		out.Missing = append(out.Missing, callerapi.MissingPart{Part: r.callerPart(m.Part), Reason: missingReason(m)})
 	}
 	for _, res := range a.Results {
-		out.Results = append(out.Results, callerapi.Result{Part: r.callerPart(res.Part), More: res.MoreRanges, Body: res.Body})
+		out.Results = append(out.Results, callerapi.Result{Part: r.callerPart(res.Part), MoreRanges: res.MoreRanges, Body: res.Body})
 	}
 	return out
 }
--- a/entry/executor/query_log.go
+++ b/entry/executor/query_log.go
@@ -43,7 +43,7 @@
 
 // recordReplyTime keeps an attempt that got a reply if it is the slowest so far.
 func (r *run) recordReplyTime(a *attempt, took time.Duration) {
-	if !r.executor.config.Log.DecisionsOn() {
+	if !r.executor.config.Log.DecisionsEnabled() {
 		return
 	}
 	for {
@@ -58,7 +58,7 @@
 // and the ages of the configuration and the list of leaves that it used.
 func (r *run) logAnswer(a *query.Answer) {
 	log := r.executor.config.Log
-	if !log.DecisionsOn() {
+	if !log.DecisionsEnabled() {
 		return
 	}
 	took := time.Since(r.request.Start)
@@ -90,9 +90,9 @@
 	if len(a.Missing) > 0 {
 		more = append(more, "missing", r.describeMissing(a))
 	}
-	log.Decide(telemetry.Decision{
-		Part: prefixQuery, What: "answer", Query: r.stamp, Request: r.request.callerRequestID(), Why: string(a.Outcome),
-		Took: took, More: more, Class: class,
+	log.LogDecision(telemetry.Decision{
+		Component: prefixQuery, Event: "answer", Query: r.stamp, Request: r.request.callerRequestID(), Reason: string(a.Outcome),
+		Duration: took, Extra: more, Class: class,
 	})
 }
 
--- a/entry/hosted/forwarding/relay.go
+++ b/entry/hosted/forwarding/relay.go
@@ -106,8 +106,8 @@
 	p := r.Forwarded
 	return &peerapi.ForwardRequest{
 		Version: r.View.Generation, Request: p.ID, Method: p.Method, Target: p.Target, Host: p.Host, Header: p.Header, Body: p.Body,
-		SpentUS: (now.Sub(r.Start) + delay).Microseconds(), LeftUS: (r.Deadline.Sub(now) - delay).Microseconds(),
-		WayUS: r.NetworkDelay.Microseconds(),
+		ElapsedUS: (now.Sub(r.Start) + delay).Microseconds(), RemainingUS: (r.Deadline.Sub(now) - delay).Microseconds(),
+		ClientNetworkUS: r.NetworkDelay.Microseconds(),
 	}
 }
 
@@ -131,14 +131,14 @@
 // logRelay logs the outcome of forwarding a request to one instance.
 func (f *Forwarder) logRelay(ctx context.Context, r *executor.Request, to fleet.Instance, err error, elapsed time.Duration) {
 	d := telemetry.Decision{
-		Part: relayLogPrefix, What: "handed over", Request: r.Forwarded.ID, Took: elapsed,
-		More: []any{"to", to.Name, "config", r.View.Generation, "way", r.NetworkDelay, "forward_delay", f.forwardDelays.upperBound()}, Class: telemetry.Outcome,
+		Component: relayLogPrefix, Event: "handed over", Request: r.Forwarded.ID, Duration: elapsed,
+		Extra: []any{"to", to.Name, "config", r.View.Generation, "way", r.NetworkDelay, "forward_delay", f.forwardDelays.upperBound()}, Class: telemetry.Outcome,
 	}
 	if err != nil {
-		d.Why = err.Error()
-		d.What, d.Class = classifyForwardError(ctx, err)
+		d.Reason = err.Error()
+		d.Event, d.Class = classifyForwardError(ctx, err)
 	}
-	f.config.Log.Decide(d)
+	f.config.Log.LogDecision(d)
 }
 
 // classifyForwardError returns the log text and class for an error of forwarding a request.
@@ -192,8 +192,8 @@
 	now := time.Now()
 	received := gateway.RelayedRequest{
 		Forwarded: &leafclient.ForwardedRequest{ID: r.Request, Method: r.Method, Target: r.Target, Host: r.Host, Header: r.Header, Body: r.Body},
-		Start:     now.Add(-time.Duration(r.SpentUS) * time.Microsecond), Deadline: now.Add(time.Duration(r.LeftUS) * time.Microsecond),
-		NetworkDelay: time.Duration(r.WayUS) * time.Microsecond,
+		Start:     now.Add(-time.Duration(r.ElapsedUS) * time.Microsecond), Deadline: now.Add(time.Duration(r.RemainingUS) * time.Microsecond),
+		NetworkDelay: time.Duration(r.ClientNetworkUS) * time.Microsecond,
 	}
 	if r.Gather != nil {
 		return f.runGather(ctx, v, r, received)
--- a/entry/hosted/ready.go
+++ b/entry/hosted/ready.go
@@ -23,7 +23,7 @@
 func (n *Node) serveMetrics(ctx context.Context) error {
 	l, err := net.Listen("tcp", n.config.MetricsAddress)
 	if err != nil {
-		n.log.Part("node").Warn("can't listen on the metrics address", "err", err)
+		n.log.Component("node").Warn("can't listen on the metrics address", "err", err)
 		return nil
 	}
 	e := echo.New()
--- a/entry/hosted/slowleaves/slowleaves.go
+++ b/entry/hosted/slowleaves/slowleaves.go
@@ -43,7 +43,7 @@
 
 // AddFromPeer adds the observations of an instance that syncs from this one. Their ages are
 // used as sent, because the message takes only about a millisecond.
-func (e *Exchange) AddFromPeer(seen []peerapi.SeenLeaf, now time.Time) {
+func (e *Exchange) AddFromPeer(seen []peerapi.LeafObservation, now time.Time) {
 	observations := make([]slowness.Observation, 0, len(seen))
 	for _, l := range seen {
 		observations = append(observations, slowness.Observation{Leaf: l.Leaf, Elapsed: milliseconds(l.TookMS), Slow: l.Slow, At: now.Add(-milliseconds(l.AgeMS))})
@@ -56,12 +56,12 @@
 
 // TakePending returns the observations for the instance from which this one syncs, and removes
 // them from those that wait to be sent.
-func (e *Exchange) TakePending(now time.Time) []peerapi.SeenLeaf {
+func (e *Exchange) TakePending(now time.Time) []peerapi.LeafObservation {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	out := make([]peerapi.SeenLeaf, 0, len(e.pending))
+	out := make([]peerapi.LeafObservation, 0, len(e.pending))
 	for _, p := range e.pending {
-		out = append(out, peerapi.SeenLeaf{Leaf: p.Leaf, TookMS: p.Elapsed.Milliseconds(), Slow: p.Slow, AgeMS: now.Sub(p.At).Milliseconds()})
+		out = append(out, peerapi.LeafObservation{Leaf: p.Leaf, TookMS: p.Elapsed.Milliseconds(), Slow: p.Slow, AgeMS: now.Sub(p.At).Milliseconds()})
 	}
 	e.pending = e.pending[:0]
 	return out
@@ -69,7 +69,7 @@
 
 // SetPeerReport replaces the report of the instance from which this one syncs. Its ages count
 // from start, when the sync began.
-func (e *Exchange) SetPeerReport(slow []peerapi.SeenLeaf, start time.Time) {
+func (e *Exchange) SetPeerReport(slow []peerapi.LeafObservation, start time.Time) {
 	reported := make([]slowness.SlowLeaf, 0, len(slow))
 	for _, l := range slow {
 		reported = append(reported, slowness.SlowLeaf{Leaf: l.Leaf, Elapsed: milliseconds(l.TookMS), At: start.Add(-milliseconds(l.AgeMS))})
@@ -98,10 +98,10 @@
 }
 
 // Report returns the slow leaves as they are sent to an instance that syncs from this one.
-func (e *Exchange) Report(now time.Time) []peerapi.SeenLeaf {
-	var out []peerapi.SeenLeaf
+func (e *Exchange) Report(now time.Time) []peerapi.LeafObservation {
+	var out []peerapi.LeafObservation
 	for _, l := range e.SlowLeaves(now) {
-		out = append(out, peerapi.SeenLeaf{Leaf: l.Leaf, TookMS: l.Elapsed.Milliseconds(), Slow: true, AgeMS: now.Sub(l.At).Milliseconds()})
+		out = append(out, peerapi.LeafObservation{Leaf: l.Leaf, TookMS: l.Elapsed.Milliseconds(), Slow: true, AgeMS: now.Sub(l.At).Milliseconds()})
 	}
 	return out
 }
--- a/entry/hosted/statesync/config.go
+++ b/entry/hosted/statesync/config.go
@@ -78,8 +78,8 @@
 	if r.Version == s.config.Version {
 		return
 	}
-	if change, ok := s.changes[r.Version]; ok && r.Changes {
-		if out.Change = change(); out.Change != nil {
+	if change, ok := s.changes[r.Version]; ok && r.AcceptsChange {
+		if out.ConfigChange = change(); out.ConfigChange != nil {
 			out.ConfigHash = s.hash()
 			return
 		}
@@ -101,7 +101,7 @@
 // because its configuration is base or because it has none.
 func decodeConfig(reply *peerapi.SyncReply, base *catalog.Config) (*catalog.Config, error) {
 	switch {
-	case reply.Change != nil:
+	case reply.ConfigChange != nil:
 		return applyChange(reply, base)
 	case reply.Config != nil:
 		out, err := unpackConfig(reply.Config)
@@ -120,7 +120,7 @@
 		return nil, errNoBaseConfig
 	}
 	var change catalog.ConfigChange
-	if err := unpack(reply.Change, &change); err != nil {
+	if err := unpack(reply.ConfigChange, &change); err != nil {
 		return nil, fmt.Errorf("decode a change of a peer's configuration: %w", err)
 	}
 	if err := checkRoutes(change.Routes); err != nil {
--- a/entry/hosted/statesync/instances.go
+++ b/entry/hosted/statesync/instances.go
@@ -40,7 +40,7 @@
 // FillReply fills in the hash of the list, and the list itself if its hash is not the one that
 // the peer has.
 func (l *InstanceList) FillReply(peerHash uint64, out *peerapi.SyncReply) {
-	out.Fleet = l.Hash
+	out.FleetHash = l.Hash
 	if l.Hash != peerHash {
 		out.Instances = l.packed
 	}
--- a/entry/hosted/statesync/leaves.go
+++ b/entry/hosted/statesync/leaves.go
@@ -126,13 +126,13 @@
 		return list, false, fmt.Errorf("decode a peer's leaves: %w", err)
 	}
 	next := make(map[string]receivedLeaf, len(l.list)+len(entries))
-	if reply.Base != 0 {
-		if reply.Base != l.hash {
+	if reply.BaseLeavesHash != 0 {
+		if reply.BaseLeavesHash != l.hash {
 			return list, false, errUnknownBaseList
 		}
 		maps.Copy(next, l.list)
 	}
-	for _, id := range reply.Gone {
+	for _, id := range reply.RemovedLeaves {
 		delete(next, id)
 	}
 	for _, e := range entries {
@@ -140,10 +140,10 @@
 		next[leaf.ID] = receivedLeaf{leaf, bad}
 	}
 	list.Leaves, list.Bad = splitValid(next)
-	if len(list.Bad) == 0 && catalog.HashLeaves(list.Leaves) != reply.Hash {
+	if len(list.Bad) == 0 && catalog.HashLeaves(list.Leaves) != reply.LeavesHash {
 		return list, false, errListHashMismatch
 	}
-	l.hash, l.list = reply.Hash, next
+	l.hash, l.list = reply.LeavesHash, next
 	return list, true, nil
 }
 
--- a/entry/hosted/statesync/receiver.go
+++ b/entry/hosted/statesync/receiver.go
@@ -52,7 +52,7 @@
 // Request returns a request that names the configuration base, which may be nil, and the list
 // of leaves received last, so that a peer sends only what differs.
 func (r *Receiver) Request(base *catalog.Config) peerapi.SyncRequest {
-	out := peerapi.SyncRequest{Hash: r.leaves.hash, Changes: !r.needWhole}
+	out := peerapi.SyncRequest{LeavesHash: r.leaves.hash, AcceptsChange: !r.needWhole}
 	if base != nil {
 		out.Version = base.Version
 	}
@@ -68,7 +68,7 @@
 // rejected, the next request asks for the whole of it.
 func (r *Receiver) Apply(reply *peerapi.SyncReply, base *catalog.Config, sent, now time.Time) (*Update, error) {
 	out := &Update{
-		Version: reply.Version, Incremental: reply.Change != nil, FleetHash: reply.Fleet,
+		Version: reply.Version, Incremental: reply.ConfigChange != nil, FleetHash: reply.FleetHash,
 		ConfigAt: timeOfAge(reply.ConfigAgeMS, sent), LeavesAt: timeOfAge(reply.LeavesAgeMS, sent), FleetAt: timeOfAge(reply.FleetAgeMS, sent),
 	}
 	var err error
--- a/entry/hosted/statesync/state_test.go
+++ b/entry/hosted/statesync/state_test.go
@@ -53,11 +53,11 @@
 	var change, all peerapi.SyncReply
 	after.fillLeaves(before.hash, &change)
 	after.fillLeaves(0, &all)
-	if change.Base != before.hash || len(change.Leaves) > 300 || len(change.Gone) != 1 {
-		t.Errorf("one changed and one removed leaf take %d bytes, base %x, removed %v", len(change.Leaves), change.Base, change.Gone)
+	if change.BaseLeavesHash != before.hash || len(change.Leaves) > 300 || len(change.RemovedLeaves) != 1 {
+		t.Errorf("one changed and one removed leaf take %d bytes, base %x, removed %v", len(change.Leaves), change.BaseLeavesHash, change.RemovedLeaves)
 	}
-	if all.Base != 0 || len(all.Leaves) > 20_000 {
-		t.Errorf("the whole list takes %d bytes, base %x", len(all.Leaves), all.Base)
+	if all.BaseLeavesHash != 0 || len(all.Leaves) > 20_000 {
+		t.Errorf("the whole list takes %d bytes, base %x", len(all.Leaves), all.BaseLeavesHash)
 	}
 	if whole, err := after.config.whole(); err != nil || len(whole) > 8000 {
 		t.Errorf("a configuration of 400 equal routes takes %d bytes, error %v", len(whole), err)
@@ -97,9 +97,9 @@
 			if rapid.IntRange(0, 2).Draw(t, "asks") > 0 {
 				continue
 			}
-			reply := &peerapi.SyncReply{Hash: state.hash, Revision: uint64(step + 1)}
+			reply := &peerapi.SyncReply{LeavesHash: state.hash, Revision: uint64(step + 1)}
 			state.fillLeaves(received.hash, reply)
-			if reply.Base == 0 && reply.Leaves != nil {
+			if reply.BaseLeavesHash == 0 && reply.Leaves != nil {
 				wholeLists++
 			}
 			list, changed, err := received.apply(reply, listStart)
@@ -121,11 +121,11 @@
 		t.Fatal(err)
 	}
 	var received receivedLeaves
-	reply := peerapi.SyncReply{Hash: state.hash, Leaves: state.leaves, Base: 77}
+	reply := peerapi.SyncReply{LeavesHash: state.hash, Leaves: state.leaves, BaseLeavesHash: 77}
 	if _, _, err := received.apply(&reply, listStart); err == nil {
 		t.Error("changes of an unknown list were accepted")
 	}
-	reply.Base, reply.Hash = 0, 78
+	reply.BaseLeavesHash, reply.LeavesHash = 0, 78
 	if _, _, err := received.apply(&reply, listStart); err == nil {
 		t.Error("a list with another hash was accepted")
 	}
@@ -147,9 +147,9 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	all := peerapi.SyncReply{Hash: first.hash}
+	all := peerapi.SyncReply{LeavesHash: first.hash}
 	first.fillLeaves(0, &all)
-	change := peerapi.SyncReply{Hash: second.hash}
+	change := peerapi.SyncReply{LeavesHash: second.hash}
 	second.fillLeaves(first.hash, &change)
 	var base receivedLeaves
 	if _, _, err := base.apply(&all, listStart); err != nil {
--- a/entry/hosted/sync.go
+++ b/entry/hosted/sync.go
@@ -38,8 +38,8 @@
 	now := time.Now()
 	out := s.Reply(&r, now)
 	n.membership.writeList(&r, out, now)
-	n.slowLeaves.AddFromPeer(r.Seen, now)
-	out.Slow = n.slowLeaves.Report(now)
+	n.slowLeaves.AddFromPeer(r.Observations, now)
+	out.SlowLeaves = n.slowLeaves.Report(now)
 	n.executor.MergeQuarantine(r.Quarantine)
 	out.Quarantine = n.executor.Quarantine()
 	n.control.recordFresherPeer(from, r.AgeMS, max(out.ConfigAgeMS, out.LeavesAgeMS))
@@ -84,8 +84,8 @@
 	}
 	config := c.state.Load().Config()
 	request := c.receiver.Request(config)
-	request.Fleet, request.AgeMS = c.node.membership.listHash(), c.stateAgeMS(startedAt)
-	request.Seen, request.Quarantine = c.node.slowLeaves.TakePending(startedAt), c.node.executor.Quarantine()
+	request.FleetHash, request.AgeMS = c.node.membership.listHash(), c.stateAgeMS(startedAt)
+	request.Observations, request.Quarantine = c.node.slowLeaves.TakePending(startedAt), c.node.executor.Quarantine()
 	reply, err := c.peers.Sync(ctx, peer.Target{Instance: source.Name, Address: source.PeerAddress}, request)
 	if err != nil {
 		return err
@@ -98,7 +98,7 @@
 	if !update.HasConfigAndLeaves() {
 		return errUnknownState
 	}
-	c.node.slowLeaves.SetPeerReport(reply.Slow, startedAt)
+	c.node.slowLeaves.SetPeerReport(reply.SlowLeaves, startedAt)
 	c.node.membership.applyPeerList(update)
 	if err := c.send(ctx, peerUpdate{update: update, peer: cmp.Or(source.Name, source.PeerAddress), storeListChanges: listChanges}); err != nil {
 		c.receiver.ForgetLeaves() // the catalog did not receive the update
--- a/entry/leafclient/leafclient.go
+++ b/entry/leafclient/leafclient.go
@@ -181,7 +181,7 @@
 	}
 	status := LeafStatus{
 		Versions: versions, Draining: resp.Header.Get(leafapi.HeaderDraining) == "1",
-		StartMillis: leafapi.ParseBorn(resp.Header.Get(leafapi.HeaderBorn)),
+		StartMillis: leafapi.ParseStartMillis(resp.Header.Get(leafapi.HeaderStartMillis)),
 	}
 	if decline := resp.Header.Get(leafapi.HeaderNotRun); decline != "" && resp.StatusCode >= http.StatusBadRequest {
 		return nil, readDecline(t, resp, leafapi.Decline(decline), status)
--- a/entry/probe/probe_test.go
+++ b/entry/probe/probe_test.go
@@ -35,7 +35,7 @@
 		warmed: make(map[string]int), probed: make(map[string]int),
 		lastReply: make(map[string]time.Time), versions: make(map[string][]uint64), startMS: make(map[string]int64),
 		answer: func(id string) (*leafapi.Health, error) {
-			return &leafapi.Health{ID: id, Ready: true, Versions: []uint64{7}, Born: 5}, nil
+			return &leafapi.Health{ID: id, Ready: true, Versions: []uint64{7}, StartMillis: 5}, nil
 		},
 	}
 }
