--- a/entry/hosted/control.go
+++ b/entry/hosted/control.go
@@ -60,7 +60,7 @@
 	syncRequested chan struct{}
 	// lastSource holds a string: where the last newer state came from, as sourceOf names it.
 	lastSource atomic.Value
-	gauges     stateGauges
+	gauges     stateMeter
 	// badLeaves reports the store's entries of leaves that can't be used.
 	badLeaves *badEntryReporter
 }
@@ -119,7 +119,7 @@
 	return &control{
 		node: n, log: n.log.Component("control"), peers: n.peers, catalog: catalog.New(n.config.Tunables.Catalog),
 		inbox: make(chan any, inboxLength), syncRequested: make(chan struct{}, 1),
-		gauges:    stateGauges{scope: n.metrics.Scope.SubScope("hosted")},
+		gauges:    stateMeter{scope: n.metrics.Scope.SubScope("hosted")},
 		badLeaves: newBadEntryReporter(n.log.Component("control"), n.metrics.Scope, "leaves"),
 	}
 }
--- a/entry/hosted/meters.go
+++ b/entry/hosted/meters.go
@@ -6,8 +6,8 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// stateGauges reports the instance's state as gauges. Not safe for concurrent use.
-type stateGauges struct {
+// stateMeter reports the instance's state as gauges. Not safe for concurrent use.
+type stateMeter struct {
 	scope tally.Scope
 	// labels are those that updateStateAge reported last.
 	labels map[string]string
@@ -33,7 +33,7 @@
 }
 
 // update sets all gauges.
-func (m *stateGauges) update(s gaugeValues) {
+func (m *stateMeter) update(s gaugeValues) {
 	m.updateStateAge(s)
 	m.scope.Gauge("config_age_seconds").Update(s.configAge)
 	m.scope.Gauge("leaves_age_seconds").Update(s.leavesAge)
@@ -55,7 +55,7 @@
 // updateStateAge sets the gauges of the state's age (the greater of those of configuration and
 // leaves) and version, labeled by source and role. Gauges of earlier labels become
 // inactiveGaugeValue.
-func (m *stateGauges) updateStateAge(s gaugeValues) {
+func (m *stateMeter) updateStateAge(s gaugeValues) {
 	labels := map[string]string{"source": s.source, "role": s.role}
 	if m.labels != nil && !maps.Equal(labels, m.labels) {
 		m.scope.Tagged(m.labels).Gauge("state_age_seconds").Update(inactiveGaugeValue)
--- a/entry/hosted/meters_test.go
+++ b/entry/hosted/meters_test.go
@@ -11,7 +11,7 @@
 // gauges with its earlier labels become inactive.
 func TestStateAgeGaugesResetOnRoleChange(t *testing.T) {
 	scope := tally.NewTestScope("", nil)
-	m := stateGauges{scope: scope}
+	m := stateMeter{scope: scope}
 	m.update(gaugeValues{source: sourceStore, role: "reader", configAge: 0.5, leavesAge: 0.7, version: 3})
 	m.update(gaugeValues{source: sourcePeer, role: "member", configAge: 1.5, leavesAge: 1.2, version: 4})
 	got := make(map[string]float64)
